--- a/packages/protocol/src/pearward_protocol/entries.py
+++ b/packages/protocol/src/pearward_protocol/entries.py
@@ -228,7 +228,7 @@
             "targets": targets,
             "ranges": ranges,
             "witnesses": {row.target: row.sets for row in change.witnesses},
-            "left": change.left,
+            "left": change.dropped_targets,
             "checksum": change.checksum,
             "unsettled": change.unsettled,
         }
--- a/packages/state/src/pearward_state/__init__.py
+++ b/packages/state/src/pearward_state/__init__.py
@@ -1,4 +1,4 @@
-"""Frozen data of pearward: the operators' table, shard maps and assignment records.
+"""Immutable data types of pearward: configuration tables, shard maps, assignment records.
 
-Nothing in this package does I/O, reads a clock or draws a random number.
+This package performs no I/O, reads no clock and uses no random numbers.
 """
--- a/packages/state/src/pearward_state/crashes.py
+++ b/packages/state/src/pearward_state/crashes.py
@@ -1,4 +1,4 @@
-"""What is kept of a target that crashed: which requests it was running."""
+"""Record of a target's crash: the requests that it was running."""
 
 from dataclasses import dataclass
 
@@ -7,12 +7,12 @@
 
 @dataclass(frozen=True, slots=True)
 class CrashRecord:
-    """One target's end without notice, and what it was running then."""
+    """One unannounced end of a target, with the requests it was running at that time."""
 
     target: str
     """Id of the target's incarnation."""
     at: float
-    """Unix time in s at which its end was noticed."""
+    """Unix time in s at which the crash was detected."""
     contents: tuple[str, ...]
-    """What each request that it was running asked for, as a digest that is the same for every id
-    under which the request comes."""
+    """Digest of the content of each request that was running. The request id is not part of it, so
+    that a request sent again under another id has the same digest."""
--- a/packages/state/src/pearward_state/drains.py
+++ b/packages/state/src/pearward_state/drains.py
@@ -1,4 +1,4 @@
-"""Failure domains that operators drain: nothing new is sent to the targets there."""
+"""Failure domains that operators drain: their targets get no new requests."""
 
 from dataclasses import dataclass
 
@@ -7,8 +7,8 @@
 
 @dataclass(frozen=True, slots=True)
 class DomainDrains:
-    """All drained failure domains, as they were at one revision of the store."""
+    """All drained failure domains as of one revision of the store."""
 
     revision: int = 0
-    """Revision of the store up to which all is known; 0 where nothing is."""
+    """Revision of the store that this state reflects; 0 if the drains have not been read."""
     domains: frozenset[str] = frozenset()
--- a/packages/state/src/pearward_state/eras.py
+++ b/packages/state/src/pearward_state/eras.py
@@ -1,28 +1,28 @@
-"""Numbers that only rise, although the store that counts them may go back.
+"""Version and fence numbers that stay monotonic when the store is restored from an older copy.
 
-The platform's store may come back from an older copy, and begins a new era then. Whatever was
-numbered since the copy is lost there, and its numbers would be given out a second time. So the
-upper part of each number names the era in which it was given: a number of a later era is above
-every number of an earlier one, whether the store still knows that or not.
+A restore starts a new era of the platform's store. The store then lacks everything that was
+written after the copy, and would allocate the same numbers a second time. The upper part of each
+number is therefore the era in which it was allocated, so that every number of a later era is
+greater than every number of an earlier one, including those that the store has lost.
 """
 
 __all__ = ["ERA_SPAN", "era_of", "first_of", "next_number"]
 
 ERA_SPAN = 2**32
-"""Numbers in one era: a map a second for 136 years. Targets take whole numbers up to 2**53, which
-is two million eras."""
+"""Numbers in one era: enough for one key map per second for 136 years. Targets accept integers up
+to 2**53, which leaves two million eras."""
 
 
 def era_of(number: int) -> int:
-    """Return the era of the store in which a number was given."""
+    """Return the era of the store in which *number* was allocated."""
     return number // ERA_SPAN
 
 
 def first_of(era: int) -> int:
-    """Return the number below which all numbers of earlier eras lie."""
+    """Return the lowest number of *era*; all numbers of earlier eras are below it."""
     return era * ERA_SPAN
 
 
 def next_number(latest: int, era: int) -> int:
-    """Return the number that follows *latest* when it is given in an era."""
+    """Return the number to allocate in *era* after *latest*."""
     return max(latest, first_of(era)) + 1
--- a/packages/state/src/pearward_state/errors.py
+++ b/packages/state/src/pearward_state/errors.py
@@ -1,18 +1,18 @@
-"""Errors of the state layer; each names the offending value."""
+"""Exceptions of the state layer; each message includes the offending value."""
 
 __all__ = ["InvalidField", "InvalidRecord", "PearwardError", "StateError"]
 
 
 class PearwardError(Exception):
-    """Root of every error that pearward raises on purpose."""
+    """Base class of all exceptions that pearward raises deliberately."""
 
 
 class StateError(PearwardError):
-    """Root of the state layer's errors."""
+    """Base class of the state layer's exceptions."""
 
 
 class InvalidField(StateError):
-    """A field of a row or of the settings has a value that is not allowed."""
+    """A field of a table row or of the settings has an invalid value."""
 
     def __init__(self, path: str, value: object, reason: str) -> None:
         super().__init__(f"{path}: {value!r}: {reason}")
@@ -22,4 +22,4 @@
 
 
 class InvalidRecord(StateError):
-    """The bytes of a stored record cannot be understood."""
+    """A stored record cannot be decoded or is inconsistent."""
--- a/packages/state/src/pearward_state/fields.py
+++ b/packages/state/src/pearward_state/fields.py
@@ -1,7 +1,7 @@
-"""Checked reading of plain mappings (parsed YAML or JSON) into typed values.
+"""Validated reading of plain mappings (parsed YAML or JSON) into typed values.
 
-Every check raises :class:`~pearward_state.errors.InvalidField` with the dotted
-path of the field, so that a message can point at one line of one file.
+A failed check raises :class:`~pearward_state.errors.InvalidField` with the dotted path
+of the field, so that the error message locates the field in its file.
 """
 
 import ipaddress
@@ -13,15 +13,16 @@
 
 __all__ = ["FieldReader"]
 
-PORTS = 65_536
+PORT_LIMIT = 65_536
+"""Port numbers are below this value."""
 _E = TypeVar("_E", bound=StrEnum)
 
 
 class FieldReader:
-    """Reads the fields of one mapping and remembers which ones were asked for.
+    """Reads the fields of one mapping and records which ones have been read.
 
-    Call :meth:`finish` last: it refuses fields that nobody read, which is how a
-    misspelt name is found.
+    Call :meth:`finish` last: it rejects fields that were not read, so that a misspelt
+    name is reported instead of ignored.
     """
 
     def __init__(self, data: object, path: str) -> None:
@@ -38,17 +39,17 @@
         return f"{self._path}.{name}" if self._path else name
 
     def raw(self, name: str, default: Any = None) -> Any:
-        """Return the unchecked value of *name*."""
+        """Return the value of *name* without validation; null counts as absent."""
         self._seen.add(name)
         value = self._data.get(name, default)
         return default if value is None else value
 
     def section(self, name: str) -> "FieldReader":
-        """Return a reader for the mapping under *name*; an absent one is empty."""
+        """Return a reader for the mapping under *name*, empty if it is absent."""
         return FieldReader(self.raw(name, {}), self.path(name))
 
     def text(self, name: str, default: str | None = None) -> str:
-        """Return a non-empty string."""
+        """Return a non-empty string; required unless *default* is given."""
         value = self.raw(name, default)
         if value is None:
             raise InvalidField(self.path(name), None, "is required")
@@ -57,7 +58,7 @@
         return value
 
     def texts(self, name: str) -> list[str]:
-        """Return a list of non-empty strings; an absent one is empty."""
+        """Return a list of non-empty strings, empty if it is absent."""
         values = self.items(name)
         for value in values:
             if not isinstance(value, str) or not value:
@@ -65,32 +66,32 @@
         return values
 
     def address(self, name: str, default: str | None = None) -> str:
-        """Return an IP address and a port, as IP:port."""
+        """Return an address of the form IP:port."""
         value = self.text(name, default)
         ip, _, port = value.rpartition(":")
         try:
             ipaddress.ip_address(ip)
         except ValueError:
             raise InvalidField(self.path(name), value, "expected IP:port") from None
-        if not port.isdecimal() or not 0 < int(port) < PORTS:
-            raise InvalidField(self.path(name), value, f"expected a port in 1..{PORTS - 1}")
+        if not port.isdecimal() or not 0 < int(port) < PORT_LIMIT:
+            raise InvalidField(self.path(name), value, f"expected a port in 1..{PORT_LIMIT - 1}")
         return value
 
     def text_or_empty(self, name: str) -> str:
-        """Return a string that may be empty, but has to be there."""
+        """Return a required string, which may be empty."""
         value = self.raw(name)
         if not isinstance(value, str):
             raise InvalidField(self.path(name), value, "expected a string")
         return value
 
     def whole(self, name: str, *, low: int = 0, high: int = 2**53) -> int:
-        """Return a whole number within ``low..high`` that has to be there."""
+        """Return a required integer within ``low..high``."""
         if self.raw(name) is None:
             raise InvalidField(self.path(name), None, "is required")
         return self.integer(name, 0, low=low, high=high)
 
     def integer(self, name: str, default: int, *, low: int = 0, high: int = 2**63 - 1) -> int:
-        """Return a whole number within ``low..high``."""
+        """Return an integer within ``low..high``."""
         value = self.raw(name, default)
         if isinstance(value, bool) or not isinstance(value, int):
             raise InvalidField(self.path(name), value, "expected a whole number")
@@ -108,7 +109,7 @@
         return float(value)
 
     def flag(self, name: str, default: bool) -> bool:
-        """Return a truth value."""
+        """Return a boolean."""
         value = self.raw(name, default)
         if not isinstance(value, bool):
             raise InvalidField(self.path(name), value, "expected true or false")
@@ -126,14 +127,14 @@
             raise InvalidField(self.path(name), value, f"expected one of {allowed}") from None
 
     def items(self, name: str) -> list[Any]:
-        """Return a list; an absent one is empty."""
+        """Return a list, empty if it is absent."""
         value = self.raw(name, [])
         if not isinstance(value, list):
             raise InvalidField(self.path(name), value, "expected a list")
         return value
 
     def finish(self) -> None:
-        """Refuse fields that were never asked for."""
+        """Raise InvalidField if the mapping has a field that was not read."""
         for name in self._data:
             if name not in self._seen:
                 raise InvalidField(self.path(str(name)), self._data[name], "unknown field")
--- a/packages/state/src/pearward_state/keymap.py
+++ b/packages/state/src/pearward_state/keymap.py
@@ -1,12 +1,12 @@
-"""Who owns which keys of a service: the record that every daemon acts on.
+"""The key map of a service: the assignment of key ranges to owners that every daemon follows.
 
 A key map is replaced as a whole, by compare-and-swap in the platform's store. Each range
-has one owner and a fence that rises whenever the range changes hands. Where the former
-owner may still hold the range, the range also names it: the new owner is granted the
-keys only once every such predecessor has let them go.
+has one owner and a fence that increases whenever the owner changes. Former owners that may
+still hold keys of a range are listed as its predecessors: the new owner is granted the keys
+only after every predecessor has released them.
 
-Versions and fences name the era of the store in which they were given (see eras), so that a
-map that the store has lost has a lower version than any that is written after it.
+Versions and fences include the era of the store in which they were allocated (see eras). A map
+that was lost by a restore of the store thus has a lower version than any map written later.
 """
 
 import zlib
@@ -31,11 +31,11 @@
 ]
 
 KEY_SPACE = 65_536
-"""Keys are whole numbers below this. Source: the interface of targets divided by key."""
+"""Number of keys; keys are ``0..KEY_SPACE - 1``. Source: the interface of keyed targets."""
 
 
 def covered(first: int, last: int, spans: Iterable[tuple[int, int]]) -> bool:
-    """Return whether the spans (first and last key of each) together hold all keys."""
+    """Return whether the spans (first and last key of each) cover all keys *first* to *last*."""
     missing = first
     for span_first, span_last in sorted(spans):
         if span_first > missing:
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Predecessor:
-    """A target that may still hold keys of a range under an earlier fence."""
+    """A former owner that may still hold keys of a range under an earlier fence."""
 
     target: str
     """Id of the target's incarnation."""
@@ -63,7 +63,7 @@
     last: int
     """The last key, inclusive."""
     owner: str
-    """Id of the owning target's incarnation; empty while there is none."""
+    """Id of the owning target's incarnation; empty while the range has no owner."""
     fence: int
     predecessors: tuple[Predecessor, ...] = ()
 
@@ -74,7 +74,7 @@
 
 
 def check_whole(ranges: Iterable[KeyRange]) -> None:
-    """Refuse ranges that leave a key out or name one twice; raises InvalidRecord."""
+    """Raise InvalidRecord unless the ranges cover each key exactly once, in order."""
     expected = 0
     for r in ranges:
         if r.first != expected or r.last < r.first:
@@ -86,48 +86,48 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetWitnesses:
-    """The instances that time the lease of one target's daemon."""
+    """The instances that act as lease witnesses for one target's daemon."""
 
     target: str
     sets: tuple[tuple[str, ...], ...]
-    """The set in force goes first; former ones, which may have granted leases that still
-    run, stand behind it. Whoever takes the target's keys needs the word of each set."""
+    """The current set, followed by former sets that may have granted leases which have not
+    expired yet. Moving the target's keys requires confirmation from every set."""
 
 
 @dataclass(frozen=True, slots=True)
 class KeyMap:
-    """All keys of one service, in order and without gaps."""
+    """All key ranges of one service, in order and without gaps."""
 
     service: str
     version: int
-    """Rises with each change."""
+    """Increases with each change."""
     ranges: tuple[KeyRange, ...]
     fence: int
-    """The highest fence that was ever given out."""
+    """The highest fence allocated so far."""
     witnesses: tuple[TargetWitnesses, ...] = ()
     unsettled: bool = False
-    """Whether targets may yet hold keys by maps of an earlier era that the store has lost. Until
-    that is over only who held keys all along goes on with them."""
+    """Whether targets may still hold keys granted by maps of an earlier era that the store has
+    lost. While this is set, keys can only be kept by targets that have held them throughout."""
     _starts: list[int] = field(init=False, repr=False, compare=False, default_factory=list)
 
     def __post_init__(self) -> None:
         self._starts.extend(r.first for r in self.ranges)
 
     def range_of(self, key: int) -> KeyRange | None:
-        """Return the range that holds *key*, or None for a key outside the space."""
+        """Return the range that contains *key*, or None if the key is out of bounds."""
         if not 0 <= key < KEY_SPACE or not self.ranges:
             return None
         return self.ranges[bisect_right(self._starts, key) - 1]
 
     def overlapping(self, first: int, last: int) -> Iterator[KeyRange]:
-        """Yield the ranges that hold any of the keys from *first* to *last*."""
-        at = max(0, bisect_right(self._starts, first) - 1)
-        while at < len(self.ranges) and self.ranges[at].first <= last:
-            yield self.ranges[at]
-            at += 1
+        """Yield the ranges that contain any of the keys *first* to *last*."""
+        index = max(0, bisect_right(self._starts, first) - 1)
+        while index < len(self.ranges) and self.ranges[index].first <= last:
+            yield self.ranges[index]
+            index += 1
 
     def owned_by(self, target: str) -> tuple[KeyRange, ...]:
-        """Return the ranges of one target."""
+        """Return the ranges owned by *target*."""
         return tuple(r for r in self.ranges if r.owner == target)
 
     @property
@@ -137,31 +137,34 @@
 
     @property
     def checksum(self) -> int:
-        """A number that tells this map from others: its ranges, owners, fences, predecessors."""
-        before = [p for r in self.ranges for p in r.predecessors]
+        """CRC-32 of the ranges, owners, fences, predecessors and the unsettled state."""
+        predecessors = [p for r in self.ranges for p in r.predecessors]
         numbers = array("Q", self._starts)
         numbers.extend([r.fence for r in self.ranges])
         numbers.extend([len(r.predecessors) for r in self.ranges])
-        numbers.extend([p.fence for p in before])
+        numbers.extend([p.fence for p in predecessors])
         names = [r.owner for r in self.ranges]
-        names += [p.target for p in before]
+        names += [p.target for p in predecessors]
         names += ["unsettled"] if self.unsettled else []
         return zlib.crc32("\n".join(names).encode(), zlib.crc32(numbers.tobytes()))
 
     def after(self, change: "KeyMapChange") -> "KeyMap":
-        """Return the map that a change leads to.
+        """Return the map that results from applying *change* to this one.
 
-        Raises InvalidRecord where the change is to another map, or does not fit this one.
+        Raises InvalidRecord if the change is for another service or version, or if the result
+        does not cover all keys or does not match the checksum of the change.
         """
         if (change.service, change.base) != (self.service, self.version):
             raise InvalidRecord(
                 f"change of {change.service} from version {change.base} to {change.version} "
                 f"where {self.service} has version {self.version}"
             )
-        changed = {row.target: row for row in change.witnesses}
-        changed = {w.target: w for w in self.witnesses if w.target not in change.left} | changed
-        witnesses = tuple(changed[target] for target in sorted(changed))
-        ranges = self._with(change.ranges)
+        rows = {row.target: row for row in change.witnesses}
+        rows = {
+            w.target: w for w in self.witnesses if w.target not in change.dropped_targets
+        } | rows
+        witnesses = tuple(rows[target] for target in sorted(rows))
+        ranges = self._replace_ranges(change.ranges)
         check_whole(ranges)
         key_map = KeyMap(
             self.service, change.version, ranges, change.fence, witnesses, change.unsettled
@@ -173,23 +176,23 @@
             )
         return key_map
 
-    def _with(self, changed: Iterable[KeyRange]) -> tuple[KeyRange, ...]:
-        """Return the ranges with others in place of what these cover."""
+    def _replace_ranges(self, changed: Iterable[KeyRange]) -> tuple[KeyRange, ...]:
+        """Return the map's ranges with each one that overlaps *changed* replaced by it."""
         result: list[KeyRange] = []
-        at = 0
+        start = 0
         for r in changed:
-            upto = bisect_left(self._starts, r.first, at)
-            if upto > at and self.ranges[upto - 1].last >= r.first:
-                # It ends within the new one: what is left of it is among the new ones as well.
-                upto -= 1
-            result.extend(self.ranges[at:upto])
+            stop = bisect_left(self._starts, r.first, start)
+            if stop > start and self.ranges[stop - 1].last >= r.first:
+                # This range overlaps *r* too; *changed* also contains the rest of it.
+                stop -= 1
+            result.extend(self.ranges[start:stop])
             result.append(r)
-            at = bisect_right(self._starts, r.last, upto)
-        result.extend(self.ranges[at:])
+            start = bisect_right(self._starts, r.last, stop)
+        result.extend(self.ranges[start:])
         return tuple(result)
 
     def witnesses_of(self, target: str) -> tuple[tuple[str, ...], ...]:
-        """Return the witness sets of a target, the one in force first."""
+        """Return the witness sets of *target*, the current one first."""
         for row in self.witnesses:
             if row.target == target:
                 return row.sets
@@ -197,46 +200,46 @@
 
     @property
     def targets(self) -> frozenset[str]:
-        """Targets that own or may still hold keys."""
+        """Targets that own keys or, as predecessors, may still hold some."""
         owners = {r.owner for r in self.ranges if r.owner}
-        before = {p.target for r in self.ranges for p in r.predecessors}
-        return frozenset(owners | before)
+        predecessors = {p.target for r in self.ranges for p in r.predecessors}
+        return frozenset(owners | predecessors)
 
 
 @dataclass(frozen=True, slots=True)
 class KeyMapChange:
-    """What turns one version of a key map into the next."""
+    """The difference between two versions of a key map."""
 
     service: str
     base: int
-    """Version that is changed."""
+    """Version that the change applies to."""
     version: int
     fence: int
     ranges: tuple[KeyRange, ...]
-    """Ranges that the former version lacks, in order; they replace what they cover."""
+    """Ranges that the base version does not have, in order; they replace those they overlap."""
     witnesses: tuple[TargetWitnesses, ...]
     """Witness sets that are new or have changed."""
-    left: tuple[str, ...]
-    """Targets that have no witness sets any more."""
+    dropped_targets: tuple[str, ...]
+    """Targets that no longer have witness sets."""
     checksum: int
-    """Checksum of the map that this leads to."""
+    """Checksum of the resulting map."""
     unsettled: bool = False
-    """Whether the map that this leads to is unsettled."""
+    """Whether the resulting map is unsettled."""
 
 
 def changed_by(before: KeyMap, key_map: KeyMap) -> KeyMapChange:
-    """Return what turns *before* into a later version of the same map."""
-    known = set(before.ranges)
-    former = {row.target: row for row in before.witnesses}
+    """Return the change from *before* to *key_map*, a later version of the same map."""
+    old_ranges = set(before.ranges)
+    old_rows = {row.target: row for row in before.witnesses}
     targets = {row.target for row in key_map.witnesses}
     return KeyMapChange(
         key_map.service,
         before.version,
         key_map.version,
         key_map.fence,
-        tuple(r for r in key_map.ranges if r not in known),
-        tuple(row for row in key_map.witnesses if former.get(row.target) != row),
-        tuple(sorted(former.keys() - targets)),
+        tuple(r for r in key_map.ranges if r not in old_ranges),
+        tuple(row for row in key_map.witnesses if old_rows.get(row.target) != row),
+        tuple(sorted(old_rows.keys() - targets)),
         key_map.checksum,
         key_map.unsettled,
     )
--- a/packages/state/src/pearward_state/members.py
+++ b/packages/state/src/pearward_state/members.py
@@ -1,4 +1,4 @@
-"""Who takes part: the entries that daemons keep in the platform's store."""
+"""Membership entries that daemons keep in the platform's store."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -6,16 +6,16 @@
 __all__ = ["LIFE_MARK", "Holder", "Member", "TargetState", "target_id"]
 
 LIFE_MARK = "~"
-"""Stands between a target's id and when that life of it began, in the name of an incarnation."""
+"""Separates the target's own id from the start time of the incarnation in an incarnation's id."""
 
 
 def target_id(incarnation: str) -> str:
-    """Return the id by which a target knows itself; two lives of it may have the same."""
+    """Return the id that the target reports itself, which several incarnations may share."""
     return incarnation.partition(LIFE_MARK)[0]
 
 
 class TargetState(StrEnum):
-    """Whether a target takes new work."""
+    """Whether a target accepts new requests and keys."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -23,12 +23,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """A daemon and the target beside it; its entry lives as long as the daemon's lease."""
+    """A daemon and its local target; the entry expires with the daemon's lease."""
 
     instance: str
     failure_domain: str
     peer_address: str
-    """Address (IP:port) where other daemons reach it."""
+    """Address (IP:port) for connections from other daemons."""
     incarnation: str
     """Id of the daemon's process."""
     service: str
@@ -37,19 +37,19 @@
     slots: int
     state: TargetState
     cold_until: float = 0.0
-    """Unix time in s until which the target, newly started, is slow; 0 if it is not."""
+    """Unix time in s until which the target is slow after its start; 0 if it is not cold."""
     stopping: bool = False
-    """The daemon was told to stop; it is started again if its target lives on."""
+    """The daemon has been requested to stop; it is restarted if its target keeps running."""
     link_mbit_per_s: float = 0.0
-    """Rate of the instance's link; who tells every member of something needs a fast one."""
+    """Rate of the instance's link in Mbit/s; members that send to all others need a fast link."""
 
 
 @dataclass(frozen=True, slots=True)
 class Holder:
-    """On which instance a target that may own keys runs.
+    """The instance of a target that may own keys.
 
-    This entry has no lease: it outlasts the daemon beside the target, so that a later life
-    of it knows which incarnations went before the one that beats now.
+    This entry has no lease, so it remains when the target's daemon ends. A restarted daemon
+    finds in it which incarnations preceded the one that sends heartbeats now.
     """
 
     target: str
--- a/packages/state/src/pearward_state/outcome.py
+++ b/packages/state/src/pearward_state/outcome.py
@@ -1,4 +1,4 @@
-"""What became of a request, as every answer made by pearward itself says."""
+"""Outcome, reason and priority class of a request, as given in pearward's own responses."""
 
 from enum import IntEnum, StrEnum
 
@@ -6,20 +6,20 @@
 
 
 class Outcome(StrEnum):
-    """Whether a request's work may have been done."""
+    """Whether a request may have been executed."""
 
     SERVED = "served"
-    """The server's own answer follows."""
+    """The response is the server's own."""
     NOT_RUN = "not-run"
-    """The server never received a byte of the request."""
+    """The server did not receive any byte of the request."""
     UNKNOWN = "unknown"
-    """The server may have received the request; nobody knows whether it ran."""
+    """The server may have received the request; it is undetermined whether it was executed."""
     ALREADY_RUN = "already-run"
-    """A request of the same id was handed to the server before; this one was not."""
+    """A request with the same id was sent to the server earlier; this one was not sent."""
 
 
 class Reason(StrEnum):
-    """Why a request was refused or given up; part of an answer and of metrics."""
+    """Why a request was refused or abandoned; used in responses and metrics."""
 
     BAD_REQUEST = "bad-request"
     UNKNOWN_SERVICE = "unknown-service"
@@ -40,17 +40,17 @@
     BODY_CUT = "body-cut"
     TOO_LARGE = "too-large"
     TARGET_REFUSED = "target-refused"
-    """The target said that it did not run the request."""
+    """The target reported that it did not run the request."""
     TARGET_FAILED = "target-failed"
-    """The target answered with a failure of its own."""
+    """The target responded with an error of its own."""
     QUARANTINED = "quarantined"
-    """Targets crashed while they ran this request under other ids."""
+    """Targets crashed while running the same request under other ids."""
     SPOILT = "spoilt-answer"
-    """What came from the target is no whole answer to this request."""
+    """The target's response was incomplete or did not belong to this request."""
 
 
 class RequestClass(IntEnum):
-    """Priority class of a request; a lower number goes first."""
+    """Priority class of a request; lower numbers are served first."""
 
     INTERACTIVE = 0
     SUBMIT = 1
@@ -58,12 +58,12 @@
 
     @classmethod
     def from_name(cls, name: str) -> "RequestClass":
-        """Return the class called *name* in a header, a row or a command."""
+        """Return the class called *name* in a header, a table row or a command."""
         return cls[name.upper()]
 
     @property
     def label(self) -> str:
-        """Name as headers, rows and metrics carry it."""
+        """Name used in headers, table rows and metrics."""
         return _CLASS_LABELS[self]
 
 
--- a/packages/state/src/pearward_state/records.py
+++ b/packages/state/src/pearward_state/records.py
@@ -1,7 +1,7 @@
-"""The assignment record of a cell: who is in it, who owns which shard, who are witnesses.
+"""The assignment record of a cell: its members, the owner of each shard, and the witnesses.
 
-It is the only thing that decides ownership, and is replaced as a whole by
-compare-and-swap under ``cell/<cell>``.
+The record is the sole authority on ownership. It is stored under ``cell/<cell>`` and replaced
+as a whole by compare-and-swap.
 """
 
 import base64
@@ -21,7 +21,7 @@
 
 
 class InstanceState(StrEnum):
-    """What the platform's list says of an instance; it lags."""
+    """State of an instance in the platform's list, which lags behind the actual state."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -33,29 +33,29 @@
 
     name: str
     address: str
-    """IP number of the instance."""
+    """IP address of the instance."""
     failure_domain: str
     state: InstanceState = InstanceState.LIVE
     peer_port: int = 0
     caller_port: int = 0
     admin_port: int = 0
     admin_address: str = ""
-    """IP number of the operators' port, where it is not the instance's own."""
+    """IP address of the operators' port; empty if it is the instance's address."""
 
 
 class MemberState(StrEnum):
-    """What a member of a cell is there for."""
+    """Role of a member in its cell."""
 
     ACTIVE = "active"
     DRAINING = "draining"
-    """Gives up its shards and takes no new work."""
+    """Releases its shards and accepts no new ones."""
     RETIRED = "retired"
-    """Has ended or is given up; kept while a shard names it as a predecessor."""
+    """Has ended or been removed; listed as long as a shard names it as a predecessor."""
 
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """One daemon in a cell, by its incarnation."""
+    """One incarnation of a daemon in a cell."""
 
     incarnation: str
     instance: str
@@ -67,9 +67,10 @@
     """Address (IP:port) for callers."""
     state: MemberState = MemberState.ACTIVE
     witnesses: tuple[str, ...] = ()
-    """Incarnations that time this member's ownership lease."""
+    """Incarnations that act as witnesses of this member's ownership lease."""
     former_witnesses: tuple[str, ...] = ()
-    """The set before a change; its majority is needed too until the owner confirms."""
+    """The witnesses before a change; a majority of them is also required until the owner has
+    confirmed the new set."""
 
 
 _MEMBER_FIELDS = tuple(f.name for f in fields(Member))
@@ -83,26 +84,26 @@
     service: str
     version: int = 0
     write_id: str = ""
-    """Id of the write, to recognise a write whose answer was lost."""
+    """Id of the write, by which the writer recognises its own write after losing the response."""
     members: tuple[Member, ...] = ()
     shards: ShardMap = field(default_factory=ShardMap)
 
     @cached_property
     def by_incarnation(self) -> Mapping[str, int]:
-        """Index of each member by its incarnation."""
+        """Index of each member, by incarnation."""
         return {member.incarnation: index for index, member in enumerate(self.members)}
 
     def member(self, incarnation: str) -> Member | None:
-        """Return the member of that incarnation, if the record names it."""
+        """Return the member with the given incarnation, or None if there is none."""
         index = self.by_incarnation.get(incarnation)
         return None if index is None else self.members[index]
 
     def owner_of(self, shard: Shard) -> Member | None:
-        """Return the member that owns *shard*, if any."""
+        """Return the member that owns *shard*, or None if it has no owner."""
         return self.members[shard.owner] if shard.owner < len(self.members) else None
 
     def owned_by(self, incarnation: str) -> list[Shard]:
-        """Return the shards of one member, in order."""
+        """Return the shards that a member owns, in order."""
         index = self.by_incarnation.get(incarnation)
         if index is None:
             return []
@@ -111,7 +112,10 @@
 
     @cached_property
     def taken_from(self) -> Mapping[str, int]:
-        """Highest version, by incarnation, that took a shard from that member."""
+        """Highest record version, by incarnation, that moved a shard away from that member.
+
+        Only shards that still list the member as a predecessor are considered.
+        """
         taken: dict[str, int] = {}
         for shard in self.shards:
             for index in shard.predecessors:
@@ -121,7 +125,7 @@
 
     @classmethod
     def from_bytes(cls, data: bytes) -> "CellRecord":
-        """Read a stored record; raises InvalidRecord."""
+        """Decode a stored record; raises InvalidRecord."""
         try:
             raw = json.loads(data)
             members = tuple(_member_from_row(row) for row in raw["members"])
@@ -143,7 +147,7 @@
             raise InvalidRecord(f"cell record: {error}") from error
 
     def to_bytes(self) -> bytes:
-        """Return the record as it is stored."""
+        """Return the stored form of the record."""
         raw = {
             "cell": self.cell,
             "service": self.service,
@@ -158,14 +162,14 @@
         return json.dumps(raw, separators=(",", ":")).encode()
 
     def next_version(self, write_id: str, **changes: object) -> "CellRecord":
-        """Return the record that is to replace this one."""
+        """Return a copy with *changes* and the next version number."""
         return replace(self, version=self.version + 1, write_id=write_id, **changes)  # type: ignore[arg-type]
 
 
 def _pack(numbers: "array[int]") -> str:
-    """Return an array as it is stored: little-endian, deflated, in base64.
+    """Return the stored form of an array: little-endian, zlib-compressed, in base64.
 
-    As plain numbers the arrays of 8,192 shards took 230 KB of the record.
+    Written as JSON numbers, the arrays of 8,192 shards took 230 KB of the record.
     """
     if sys.byteorder == "big":
         numbers = numbers[:]
@@ -174,7 +178,7 @@
 
 
 def _unpack(kind: str, text: str) -> "array[int]":
-    """Return an array that _pack made."""
+    """Return the array that _pack encoded."""
     numbers = array(kind, zlib.decompress(base64.b64decode(text, validate=True)))
     if sys.byteorder == "big":
         numbers.byteswap()
@@ -182,7 +186,7 @@
 
 
 def _member_from_row(row: list[object]) -> Member:
-    """Return a member from its stored list of fields."""
+    """Return the member for a stored row, the list of its field values."""
     data = dict(zip(_MEMBER_FIELDS, row, strict=True))
     data["state"] = MemberState(str(data["state"]))
     data["witnesses"] = tuple(data["witnesses"])  # type: ignore[arg-type]
--- a/packages/state/src/pearward_state/routes.py
+++ b/packages/state/src/pearward_state/routes.py
@@ -1,6 +1,6 @@
-"""The routing configuration: one versioned document, frozen once it has been read.
+"""The routing configuration: one versioned, immutable document.
 
-Routes are chosen by host and longest path prefix. A document is replaced as a whole and
+Routes are matched by host and longest path prefix. The document is replaced as a whole, and
 only by one with a higher version.
 """
 
@@ -19,24 +19,24 @@
 
 
 class RequestKind(StrEnum):
-    """What a route's requests allow."""
+    """How often a route's requests may be executed, and whether responses are large."""
 
     SAFE = "safe"
-    """May run more than once."""
+    """May be executed more than once."""
     UNSAFE = "unsafe"
-    """Runs at most once for each request that a caller sends."""
+    """Executed at most once for each request that a caller sends."""
     DOWNLOAD = "download"
-    """A large answer; may run more than once."""
+    """Has a large response; may be executed more than once."""
 
     @property
     def repeatable(self) -> bool:
-        """Whether a request may be sent again after it may have run."""
+        """Whether a request may be resent although it may have been executed already."""
         return self is not RequestKind.UNSAFE
 
 
 @dataclass(frozen=True, slots=True)
 class WeightedService:
-    """A service that takes part of a route's requests."""
+    """A service that receives a share of a route's requests."""
 
     service: str
     weight: float
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Where the requests of one host and path prefix go, and how long they may take."""
+    """Services and time limits for the requests of one host and path prefix."""
 
     name: str
     host: str
@@ -52,34 +52,34 @@
     """Path prefix; begins and ends with a slash."""
     kind: RequestKind
     timeout_ms: int
-    """Longest time in ms that a request is held."""
+    """Time in ms after which a request is abandoned."""
     objective_ms: int
-    """Latency in ms within which an answer is worth most."""
+    """Target latency in ms; a response within it has the highest value."""
     rank: int
-    """Urgency; 0 goes first."""
+    """Priority; 0 is served first."""
     services: tuple[WeightedService, ...]
     max_attempts: int
-    """Targets that one request may be sent to, at most."""
+    """Maximum number of targets that one request is sent to."""
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceRules:
-    """What the configuration says of one service."""
+    """Configuration of one service."""
 
     name: str
     keyed: bool
-    """Whether each key belongs to one target at a time."""
+    """Whether each key is owned by at most one target at a time."""
     max_connections: int
-    """Connections that a target accepts from all callers together."""
+    """Maximum number of connections that a target accepts from all callers together."""
     warmup_s: float
-    """Seconds for which a key is slow at a target that got it without a hand-over token."""
+    """Seconds for which a key is slow at a target that received it without a handoff token."""
     cold_per_s: float = 0.0
-    """Requests a second that a target bears while it is cold; 0 where nothing is said."""
+    """Requests per second that a target can serve while it is cold; 0 if not configured."""
 
 
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """What a caller may send and how long it may take or rest."""
+    """Size and time limits for the requests and connections of callers."""
 
     header_bytes: int = 16_384
     body_bytes: int = 64 * 1024 * 1024
@@ -89,7 +89,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutingTable:
-    """One version of the whole configuration."""
+    """One version of the complete routing configuration."""
 
     version: int
     routes: tuple[Route, ...]
@@ -104,17 +104,17 @@
             self._by_host.setdefault(route.host, []).append(route)
 
     def match(self, host: str, path: str) -> Route | None:
-        """Return the route of *host* whose prefix is the longest that begins *path*."""
+        """Return the route of *host* with the longest prefix of *path*, or None."""
         for route in self._by_host.get(host, ()):
             if path.startswith(route.prefix):
                 return route
         return None
 
     def rules(self, service: str) -> ServiceRules | None:
-        """Return what is said of a service, or None where it is not in the document."""
+        """Return the configuration of a service, or None if the document does not have it."""
         return self.services.get(service)
 
     @property
     def keyed_services(self) -> tuple[str, ...]:
-        """Names of the services that are divided by key, sorted."""
+        """Names of the keyed services, sorted."""
         return tuple(sorted(name for name, rules in self.services.items() if rules.keyed))
--- a/packages/state/src/pearward_state/shards.py
+++ b/packages/state/src/pearward_state/shards.py
@@ -1,7 +1,7 @@
-"""The division of a service's hash space into shards and their owners.
+"""The division of a service's hash space into shards, and the owner of each shard.
 
-A map is three parallel arrays, 18 bytes a shard, so that a daemon can hold the
-routes of many cells; 11 billion keys cost nothing per key.
+A map consists of three parallel arrays with 18 bytes per shard, so that a daemon can hold the
+maps of many cells. Memory use does not depend on the number of keys (up to 11 billion).
 """
 
 from array import array
@@ -14,36 +14,36 @@
 __all__ = ["NO_OWNER", "Shard", "ShardMap"]
 
 NO_OWNER = 0xFFFF
-"""Owner index of a shard that nobody has been given yet."""
+"""Owner index of a shard that has not been assigned yet."""
 
 
 @dataclass(frozen=True, slots=True)
 class Shard:
-    """One half-open range of hash space with its present owner."""
+    """A half-open range of the hash space with its current owner."""
 
     start: int
     end: int
     owner: int
     """Index into the record's members, or NO_OWNER."""
     epoch: int
-    """Version of the record that gave the shard to this owner; grows with each move."""
+    """Version of the record that assigned the shard to this owner; increases with each move."""
     predecessors: tuple[int, ...] = ()
-    """Indices of earlier owners that may not have given the shard up yet."""
+    """Indices of former owners that may not have released the shard yet."""
 
 
 @dataclass(frozen=True, eq=False)
 class ShardMap:
-    """All shards of one cell, sorted by start; they cover the space without gaps."""
+    """All shards of one cell, sorted by start; they cover the hash space without gaps."""
 
     starts: "array[int]" = field(default_factory=lambda: array("Q"))
     owners: "array[int]" = field(default_factory=lambda: array("H"))
     epochs: "array[int]" = field(default_factory=lambda: array("Q"))
     predecessors: Mapping[int, tuple[int, ...]] = field(default_factory=dict)
-    """Earlier owners by shard start, only where there are any."""
+    """Former owners by shard start; shards without any are omitted."""
 
     @classmethod
     def even(cls, count: int) -> "ShardMap":
-        """Return *count* shards of equal size that nobody owns."""
+        """Return a map of *count* unowned shards of equal size."""
         step = HASH_SPACE // count
         return cls(
             array("Q", [i * step for i in range(count)]),
@@ -69,9 +69,9 @@
         )
 
     def index_of(self, position: int) -> int:
-        """Return the index of the shard that holds hash value *position*."""
+        """Return the index of the shard that contains hash value *position*."""
         return bisect_right(self.starts, position) - 1
 
     def find(self, position: int) -> Shard:
-        """Return the shard that holds hash value *position*."""
+        """Return the shard that contains hash value *position*."""
         return self.at(self.index_of(position))
--- a/packages/state/src/pearward_state/table.py
+++ b/packages/state/src/pearward_state/table.py
@@ -1,7 +1,7 @@
 """The operators' table: one row per service and one row per server.
 
-Rows are edited by operators and kept as one JSON value per service, so that a
-compare-and-swap covers a service and its servers together.
+Operators edit the rows. The row of a service and those of its servers are stored as one JSON
+value, so that one compare-and-swap covers them together.
 """
 
 import json
@@ -17,44 +17,46 @@
 __all__ = ["Change", "Kind", "Policy", "ServerRow", "ServiceRow", "ServiceTable"]
 
 HISTORY_LIMIT = 50
-"""Changes that are kept with a service's rows."""
+"""Maximum number of changes in a service's history."""
 
 
 class Kind(StrEnum):
-    """How requests of a service find a server."""
+    """How the server for a request is selected."""
 
     KEYED = "keyed"
+    """The owner of the request's key."""
     POOLED = "pooled"
+    """Any server of the service."""
 
 
 class Policy(StrEnum):
-    """What a service gives up first when an owner is lost."""
+    """Trade-off between shard moves and downtime when an owner is lost."""
 
     PATIENT = "patient"
-    """Wait for the owner to return: few moves, longer gaps."""
+    """Wait for the owner to return: fewer moves, longer downtime."""
     QUICK = "quick"
-    """Move at once: short gaps, more moves."""
+    """Move shards immediately: shorter downtime, more moves."""
 
 
 @dataclass(frozen=True, slots=True)
 class ServerRow:
-    """What operators say of one server."""
+    """Configuration of one server."""
 
     name: str
     weight: float = 1.0
-    """Share of keys or requests against the other servers; 0 takes no new keys."""
+    """Share of keys or requests relative to the other servers; a server with 0 gets no new keys."""
     slots: int = 12
-    """Requests that the server runs at once."""
+    """Number of requests that the server runs concurrently."""
     connections: int = 110
-    """Connections that the daemon keeps to the server at most."""
+    """Maximum number of connections from the daemon to the server."""
     fenced: bool = True
-    """Whether the server itself refuses requests with an old epoch."""
+    """Whether the server itself refuses requests with an outdated epoch."""
     drain: bool = False
-    """Whether the server is to give up its work and take no more."""
+    """Whether the server is to be drained: it hands over its work and gets no more."""
 
     @classmethod
     def from_mapping(cls, name: str, data: object, path: str) -> "ServerRow":
-        """Check *data* and build a row; raises InvalidField."""
+        """Validate *data* and return it as a row; raises InvalidField."""
         reader = FieldReader(data, path)
         row = cls(
             name=name,
@@ -74,29 +76,29 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceRow:
-    """What operators say of one service."""
+    """Configuration of one service."""
 
     name: str
     kind: Kind = Kind.POOLED
     shards_per_server: int = 64
-    """Shards that the key space is first divided into, for each server."""
+    """Number of shards per server into which the key space is divided initially."""
     weight: float = 1.0
     limit: int = 0
-    """Requests of the service that run at once, over all servers; 0 is no limit."""
+    """Maximum number of concurrent requests over all servers of the service; 0 for no limit."""
     default_class: RequestClass = RequestClass.INTERACTIVE
     export_slots: float = 0.5
-    """Share of a server's slots that exports may hold at most."""
+    """Maximum share of a server's slots that export requests may use."""
     policy: Policy = Policy.PATIENT
     wait_return_s: float = 5.0
-    """Seconds that a lost owner is given to return before its shards move."""
+    """Seconds to wait for a lost owner to return before its shards are moved."""
     churn_price: float = 1.0
-    """Cost of moving a shard against the load that the move evens out."""
+    """Cost of moving a shard, weighed against the load imbalance that the move removes."""
     retry_ratio: float = 0.1
-    """Retries allowed for each first attempt, over time."""
+    """Retries allowed per first attempt, averaged over time."""
 
     @classmethod
     def from_mapping(cls, name: str, data: object, path: str) -> "ServiceRow":
-        """Check *data* and build a row; raises InvalidField."""
+        """Validate *data* and return it as a row; raises InvalidField."""
         reader = FieldReader(data, path)
         default_class = reader.text("default_class", "interactive")
         try:
@@ -125,7 +127,7 @@
         return row
 
     def to_mapping(self) -> dict[str, Any]:
-        """Return the row's fields without its name, enumerations as their names."""
+        """Return the row's fields without its name; enumeration members become strings."""
         data = {f.name: getattr(self, f.name) for f in fields(self) if f.name != "name"}
         data["kind"] = self.kind.value
         data["policy"] = self.policy.value
@@ -146,10 +148,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceTable:
-    """The rows of one service: what ``table/<service>`` holds.
+    """The rows of one service, as stored under ``table/<service>``.
 
-    An empty ``service`` row never occurs; a removed service is marked so that its
-    removal spreads like any other version.
+    The ``service`` row is never empty. A removed service is marked with ``removed``, so that
+    its removal is distributed like any other version.
     """
 
     service: ServiceRow
@@ -161,7 +163,7 @@
 
     @classmethod
     def from_mapping(cls, name: str, data: object, path: str = "") -> "ServiceTable":
-        """Check declared rows, as a file under version control holds them."""
+        """Validate rows as declared in a configuration file; raises InvalidField."""
         reader = FieldReader(data, path or name)
         servers = reader.section("servers")
         raw_servers = reader.raw("servers", {})
@@ -180,7 +182,7 @@
 
     @classmethod
     def from_bytes(cls, name: str, data: bytes) -> "ServiceTable":
-        """Read a stored value; raises InvalidRecord."""
+        """Decode a stored value; raises InvalidRecord."""
         try:
             raw = json.loads(data)
             declared = cls.from_mapping(name, raw["rows"])
@@ -196,14 +198,14 @@
             raise InvalidRecord(f"table/{name}: {error}") from error
 
     def to_mapping(self) -> dict[str, Any]:
-        """Return the declared rows alone."""
+        """Return only the declared rows, without version and history."""
         return {
             "service": self.service.to_mapping(),
             "servers": {name: row.to_mapping() for name, row in sorted(self.servers.items())},
         }
 
     def to_bytes(self) -> bytes:
-        """Return the value as it is stored."""
+        """Return the stored form of the value."""
         raw = {
             "version": self.version,
             "write_id": self.write_id,
@@ -218,7 +220,7 @@
     def changed(
         self, rows: Mapping[str, Any], change: Change, write_id: str, *, removed: bool = False
     ) -> "ServiceTable":
-        """Return the next version, with *rows* in place of the present ones."""
+        """Return the next version, which has *rows* instead of the current ones."""
         declared = ServiceTable.from_mapping(self.service.name, rows)
         return replace(
             declared,
@@ -230,5 +232,5 @@
 
     @classmethod
     def initial(cls, name: str) -> "ServiceTable":
-        """Return the value that a service has before its first edit: version 0, no servers."""
+        """Return the value of a service before its first edit: version 0, no servers."""
         return cls(service=ServiceRow(name=name), servers={})
--- a/packages/state/src/pearward_state/tablediff.py
+++ b/packages/state/src/pearward_state/tablediff.py
@@ -1,8 +1,7 @@
-"""Differences between two versions of a service's rows, field by field.
+"""Field-by-field differences between two versions of a service's rows.
 
-A row's address is ``service`` or ``servers/<name>``. Two edits that touch
-different fields merge; two that set one field to different values are a
-conflict, which shows both values.
+A row's address is ``service`` or ``servers/<name>``. Edits of different fields are merged. Edits
+that set the same field to different values are a conflict, which is reported with both values.
 """
 
 from collections.abc import Mapping
@@ -12,12 +11,12 @@
 __all__ = ["Conflict", "Edit", "apply_edits", "diff_rows", "find_conflicts"]
 
 ABSENT = None
-"""Value of a field that one side does not have."""
+"""Value of a field or row that is missing from one of the versions."""
 
 
 @dataclass(frozen=True, slots=True)
 class Edit:
-    """One field that is to change, or (with ``field`` empty) one row to come or go."""
+    """A change of one field or, if ``field`` is empty, the addition or removal of a row."""
 
     row: str
     field: str
@@ -33,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Conflict:
-    """A field that somebody else changed meanwhile to another value."""
+    """A field or row that a concurrent edit has set to a different value."""
 
     row: str
     field: str
@@ -57,7 +56,7 @@
 
 
 def diff_rows(old: Mapping[str, Any], new: Mapping[str, Any]) -> list[Edit]:
-    """Return the edits that turn *old* into *new*, in the order of their addresses."""
+    """Return the edits that turn *old* into *new*, sorted by address."""
     before, after = _flat(old), _flat(new)
     edits: list[Edit] = []
     for row in sorted(before.keys() | after.keys()):
@@ -75,7 +74,7 @@
 
 
 def find_conflicts(edits: list[Edit], theirs: list[Edit]) -> list[Conflict]:
-    """Return those of *edits* that *theirs*, made since, contradict."""
+    """Return the conflicts of *edits* with *theirs*, the edits made concurrently."""
     by_field = {(edit.row, edit.field): edit for edit in theirs}
     whole_rows = {edit.row for edit in theirs if not edit.field}
     conflicts: list[Conflict] = []
@@ -84,16 +83,16 @@
         if other is not None and other.new != edit.new:
             conflicts.append(Conflict(edit.row, edit.field, edit.old, other.new, edit.new))
         elif edit.field and edit.row in whole_rows:
-            gone = by_field[edit.row, ""]
-            conflicts.append(Conflict(edit.row, edit.field, edit.old, gone.new, edit.new))
+            row_edit = by_field[edit.row, ""]
+            conflicts.append(Conflict(edit.row, edit.field, edit.old, row_edit.new, edit.new))
         elif not edit.field and edit.new is ABSENT and other is None:
-            touched = [t for t in theirs if t.row == edit.row]
-            conflicts.extend(Conflict(t.row, t.field, t.old, t.new, "row removed") for t in touched)
+            in_row = [t for t in theirs if t.row == edit.row]
+            conflicts.extend(Conflict(t.row, t.field, t.old, t.new, "row removed") for t in in_row)
     return conflicts
 
 
 def apply_edits(rows: Mapping[str, Any], edits: list[Edit]) -> dict[str, Any]:
-    """Return *rows* with *edits* made; neither argument changes."""
+    """Return a copy of *rows* with *edits* applied."""
     flat = {address: dict(row) for address, row in _flat(rows).items()}
     for edit in edits:
         if edit.field:
