--- a/packages/state/src/pearward_state/keymap.py
+++ b/packages/state/src/pearward_state/keymap.py
@@ -138,13 +138,13 @@
     @property
     def checksum(self) -> int:
         """CRC-32 of the ranges, owners, fences, predecessors and the unsettled state."""
-        predecessors = [p for r in self.ranges for p in r.predecessors]
+        former_owners = [p for r in self.ranges for p in r.predecessors]
         numbers = array("Q", self._starts)
         numbers.extend([r.fence for r in self.ranges])
         numbers.extend([len(r.predecessors) for r in self.ranges])
-        numbers.extend([p.fence for p in predecessors])
+        numbers.extend([p.fence for p in former_owners])
         names = [r.owner for r in self.ranges]
-        names += [p.target for p in predecessors]
+        names += [p.target for p in former_owners]
         names += ["unsettled"] if self.unsettled else []
         return zlib.crc32("\n".join(names).encode(), zlib.crc32(numbers.tobytes()))
 
@@ -179,16 +179,16 @@
     def _replace_ranges(self, changed: Iterable[KeyRange]) -> tuple[KeyRange, ...]:
         """Return the map's ranges with each one that overlaps *changed* replaced by it."""
         result: list[KeyRange] = []
-        start = 0
+        index = 0
         for r in changed:
-            stop = bisect_left(self._starts, r.first, start)
-            if stop > start and self.ranges[stop - 1].last >= r.first:
+            stop = bisect_left(self._starts, r.first, index)
+            if stop > index and self.ranges[stop - 1].last >= r.first:
                 # This range overlaps *r* too; *changed* also contains the rest of it.
                 stop -= 1
-            result.extend(self.ranges[start:stop])
+            result.extend(self.ranges[index:stop])
             result.append(r)
-            start = bisect_right(self._starts, r.last, stop)
-        result.extend(self.ranges[start:])
+            index = bisect_right(self._starts, r.last, stop)
+        result.extend(self.ranges[index:])
         return tuple(result)
 
     def witnesses_of(self, target: str) -> tuple[tuple[str, ...], ...]:
@@ -202,8 +202,8 @@
     def targets(self) -> frozenset[str]:
         """Targets that own keys or, as predecessors, may still hold some."""
         owners = {r.owner for r in self.ranges if r.owner}
-        predecessors = {p.target for r in self.ranges for p in r.predecessors}
-        return frozenset(owners | predecessors)
+        former_owners = {p.target for r in self.ranges for p in r.predecessors}
+        return frozenset(owners | former_owners)
 
 
 @dataclass(frozen=True, slots=True)
