--- a/packages/protocol/src/pearward_protocol/__init__.py
+++ b/packages/protocol/src/pearward_protocol/__init__.py
@@ -1,4 +1,4 @@
 """Wire formats of pearward: peer frames and messages, HTTP headers, the platform's JSON.
 
-Nothing here opens a socket: bytes go in, typed values come out, and the reverse.
+This package converts between bytes and typed values; it performs no I/O.
 """
--- a/packages/protocol/src/pearward_protocol/errors.py
+++ b/packages/protocol/src/pearward_protocol/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the protocol layer."""
+"""Exceptions of the protocol layer."""
 
 from pearward_state.errors import PearwardError
 
@@ -6,23 +6,23 @@
 
 
 class ProtocolError(PearwardError):
-    """Root of the protocol layer's errors."""
+    """Base class of the protocol layer's exceptions."""
 
 
 class FrameError(ProtocolError):
-    """The peer sent bytes that are no frame of this version; the connection must end."""
+    """The peer sent data that is not valid in this protocol version; close the connection."""
 
 
 class StreamError(ProtocolError):
-    """A stream was used against its rules, by the peer or by this process."""
+    """A stream operation is not allowed in the stream's current state."""
 
 
 class BadHeader(ProtocolError):
-    """A caller's header has a value that is not allowed."""
+    """A caller's request header has an invalid value."""
 
     def __init__(self, name: str, value: object, reason: str) -> None:
         super().__init__(f"{name}: {value!r}: {reason}")
 
 
 class BadPlatformAnswer(ProtocolError):
-    """The platform's service answered something that its protocol does not allow."""
+    """The platform's key-value service sent a response that violates its protocol."""
--- a/packages/protocol/src/pearward_protocol/frames.py
+++ b/packages/protocol/src/pearward_protocol/frames.py
@@ -1,7 +1,7 @@
-"""Framing of one peer connection: a fixed header before each payload.
+"""Framing of a peer connection: each payload is preceded by a fixed-size header.
 
-Header, 12 bytes, big-endian: kind (1), flags (1), zero (2), stream id (4), payload
-length (4). Chunks of bodies carry no message of their own, only this header.
+The header has 12 bytes, big-endian: kind (1), flags (1), zero (2), stream id (4), payload
+length (4). The payload of a body chunk is the raw data, without a Cap'n Proto message.
 """
 
 import struct
@@ -27,22 +27,23 @@
 _HEADER = struct.Struct(">BBHII")
 HEADER_SIZE = _HEADER.size
 MAX_PAYLOAD = 2 * 1024 * 1024
-"""Payload bytes at most: a record of a megabyte with room to spare."""
+"""Maximum payload size in bytes: twice that of a large record (1 MiB)."""
 END = 0x01
 """Flag: the sender's half of the stream ends with this frame."""
 
 
 WITH_BODY = 0x02
-"""Flag of a head: the payload also holds the whole, short body (see pack_with_body)."""
+"""Flag of a head: the payload also contains the complete body (see pack_with_body)."""
 
 _HEAD_LENGTH = struct.Struct(">I")
 
 
 class FrameKind(IntEnum):
-    """What a frame carries."""
+    """Type of a frame's payload."""
 
     HELLO = 0xA7
-    """First frame of each side; its unusual number rejects other protocols early."""
+    """First frame in each direction. Its number is not an ASCII character, so that connections
+    which use another protocol are rejected at the first frame."""
     REQUEST = 2
     RESPONSE = 3
     DATA = 4
@@ -50,7 +51,7 @@
     WINDOW = 6
     CONTROL = 7
     PING = 8
-    """Asks for a sign of life; the answer has the END flag."""
+    """Liveness check; the reply is a PING with the END flag."""
 
 
 _KINDS = {int(kind): kind for kind in FrameKind}
@@ -67,37 +68,37 @@
 
 
 def pack_frame(kind: FrameKind, stream: int, payload: bytes = b"", flags: int = 0) -> bytes:
-    """Return the bytes of one frame; raises FrameError where the payload is too long."""
+    """Return the bytes of one frame; raises FrameError if the payload is too long."""
     if len(payload) > MAX_PAYLOAD:
         raise FrameError(f"payload of {len(payload)} bytes is over {MAX_PAYLOAD}")
     return _HEADER.pack(kind, flags, 0, stream, len(payload)) + payload
 
 
 def pack_with_body(head: bytes, body: bytes) -> bytes:
-    """Return a payload of a head and a whole body: the head's length (4) goes first."""
+    """Return a payload of the head's length (4 bytes), the head and the complete body."""
     return _HEAD_LENGTH.pack(len(head)) + head + body
 
 
 def split_body(payload: bytes) -> tuple[bytes, bytes]:
-    """Return head and body of a payload that pack_with_body made; raises FrameError."""
+    """Return the head and body of a payload from pack_with_body; raises FrameError."""
     if len(payload) < _HEAD_LENGTH.size:
-        raise FrameError("head without its length")
+        raise FrameError(f"payload of {len(payload)} bytes is too short for the head's length")
     (length,) = _HEAD_LENGTH.unpack_from(payload)
     end = _HEAD_LENGTH.size + length
     if end > len(payload):
-        raise FrameError(f"head of {length} bytes in a payload of {len(payload)}")
+        raise FrameError(f"head of {length} bytes exceeds payload of {len(payload)} bytes")
     return payload[_HEAD_LENGTH.size : end], payload[end:]
 
 
 class FrameDecoder:
-    """Cuts a byte stream into frames."""
+    """Incremental decoder that splits a byte stream into frames."""
 
     def __init__(self) -> None:
         self._buffer = b""
-        self._greeted = False
+        self._hello_received = False
 
     def feed(self, data: bytes) -> Iterator[Frame]:
-        """Yield the frames that *data* completes; raises FrameError on anything else."""
+        """Yield the frames that *data* completes; raises FrameError for invalid data."""
         buffer = self._buffer + data if self._buffer else data
         offset = 0
         size = len(buffer)
@@ -105,13 +106,13 @@
             number, flags, zero, stream, length = _HEADER.unpack_from(buffer, offset)
             kind = _KINDS.get(number)
             if kind is None or zero or length > MAX_PAYLOAD:
-                raise FrameError(f"no frame: kind {number}, length {length}")
-            if not self._greeted and kind is not FrameKind.HELLO:
+                raise FrameError(f"invalid frame header: kind {number}, length {length}")
+            if not self._hello_received and kind is not FrameKind.HELLO:
                 raise FrameError(f"first frame is {kind.name}, not HELLO")
             end = offset + HEADER_SIZE + length
             if end > size:
                 break
-            self._greeted = True
+            self._hello_received = True
             payload = buffer[offset + HEADER_SIZE : end]
             offset = end
             yield Frame(kind, flags, stream, payload)
--- a/packages/protocol/src/pearward_protocol/streams.py
+++ b/packages/protocol/src/pearward_protocol/streams.py
@@ -1,8 +1,8 @@
-"""Many streams over one peer connection, without I/O.
+"""Multiplexing of streams over one peer connection, without I/O.
 
-The side that opened the connection opens streams, each with a fresh id that is never
-used again, so that a late answer can match nothing else. Each direction of a stream
-has a window of bytes that the receiver has not yet consumed.
+Only the side that opened the connection opens streams. Stream ids are never reused on a
+connection, so that a late response cannot be attributed to another request. Each direction of
+a stream has a flow-control window, which limits the bytes that the receiver has not consumed.
 """
 
 import struct
@@ -53,52 +53,53 @@
 DEFAULT_WINDOW = 128 * 1024
 MAX_CHUNK = 64 * 1024
 SHORT_BODY = 16 * 1024
-"""A whole body up to this length travels in one frame with its head, outside the window."""
+"""Maximum length in bytes of a complete body that is sent in the frame of its head. Such a body
+does not count against the window."""
 _CREDIT = struct.Struct(">I")
 LAST_STREAM = 2**32 - 1
 
 
 class ResetCode(IntEnum):
-    """Why a stream was broken off."""
+    """Why a stream was reset."""
 
     CANCELLED = 1
-    """The requester no longer wants the answer."""
+    """The requester no longer needs the response."""
     BROKEN = 2
-    """The answer cannot be completed."""
+    """The response cannot be completed."""
 
 
 @dataclass(frozen=True, slots=True)
 class HelloReceived:
-    """The peer's greeting."""
+    """The peer sent its HELLO frame."""
 
     hello: Hello
 
 
 @dataclass(frozen=True, slots=True)
 class RequestReceived:
-    """The peer opened a stream."""
+    """The peer opened a stream with a request."""
 
     stream: int
     head: RequestHead
     ended: bool
     body: bytes = b""
-    """The whole body, where it came with the head."""
+    """The complete body if it was sent with the head."""
 
 
 @dataclass(frozen=True, slots=True)
 class ResponseReceived:
-    """The peer began to answer."""
+    """The peer started the response."""
 
     stream: int
     head: ResponseHead
     ended: bool
     body: bytes = b""
-    """The whole body, where it came with the head."""
+    """The complete body if it was sent with the head."""
 
 
 @dataclass(frozen=True, slots=True)
 class DataReceived:
-    """A chunk of a body; call consumed() once it is dealt with."""
+    """A chunk of a body arrived; call Multiplexer.consumed() after processing it."""
 
     stream: int
     data: bytes
@@ -107,7 +108,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResetReceived:
-    """The peer broke the stream off."""
+    """The peer reset the stream."""
 
     stream: int
     code: ResetCode
@@ -115,14 +116,14 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamWritable:
-    """A stream whose window was used up can take data again."""
+    """A stream that was blocked by its window accepts data again."""
 
     stream: int
 
 
 @dataclass(frozen=True, slots=True)
 class ControlReceived:
-    """A control message."""
+    """A control message arrived."""
 
     message: ControlMessage
 
@@ -140,17 +141,19 @@
 
 @dataclass(slots=True)
 class _Stream:
-    """Both directions of one stream."""
+    """State of one stream, in both directions."""
 
     send_window: int
     receive_window: int
-    answered: bool = False
+    responded: bool = False
+    """Whether the head of the response has been sent or received."""
     sent_end: bool = False
     received_end: bool = False
     backlog: bytes = b""
-    """Data accepted from the sender that the window does not cover yet."""
+    """Data passed to send_data() that exceeds the peer's window and is not sent yet."""
     end_after_backlog: bool = False
     uncredited: int = 0
+    """Bytes consumed but not yet credited to the peer's window."""
 
 
 class Multiplexer:
@@ -162,34 +165,34 @@
         self._decoder = FrameDecoder()
         self._streams: dict[int, _Stream] = {}
         self._last_stream = 0
-        self._greeted = False
+        self._hello_received = False
         self._output: list[bytes] = []
         self._closed: list[int] = []
 
     @property
     def open_streams(self) -> int:
-        """Streams that are not finished in both directions."""
+        """Number of streams that have not ended in both directions."""
         return len(self._streams)
 
     @property
     def exhausted(self) -> bool:
-        """Whether this connection has no stream ids left and a new one is needed."""
+        """Whether all stream ids of this connection are used up, so that a new one is needed."""
         return self._last_stream >= LAST_STREAM
 
     def take_output(self) -> list[bytes]:
-        """Return the frames to write, in order, and forget them."""
+        """Return and clear the list of frames to write."""
         output, self._output = self._output, []
         return output
 
     def take_closed(self) -> list[int]:
-        """Return the streams that both sides have finished since the last call."""
+        """Return the streams that have ended in both directions since the last call."""
         closed, self._closed = self._closed, []
         return closed
 
     # -- sending ------------------------------------------------------------
 
     def send_hello(self, hello: Hello) -> None:
-        """Greet the peer; must be the first thing sent."""
+        """Send the HELLO frame, which must be the first frame."""
         self._output.append(pack_frame(FrameKind.HELLO, 0, encode_hello(hello)))
 
     def send_control(self, message: ControlMessage) -> None:
@@ -197,13 +200,14 @@
         self._output.append(pack_frame(FrameKind.CONTROL, 0, encode_control(message)))
 
     def send_ping(self) -> None:
-        """Ask the peer for a sign of life."""
+        """Send a liveness check, to which the peer replies."""
         self._output.append(pack_frame(FrameKind.PING, 0))
 
     def open_stream(self, head: RequestHead, *, ended: bool, body: bytes = b"") -> int:
         """Open a stream and return its id.
 
-        *ended* says that no more follows; a short *body* then travels with the head.
+        *ended* means that no data follows. Only then may a *body* of up to SHORT_BODY bytes be
+        given, which is sent with the head. Raises StreamError.
         """
         if not self._opener or self.exhausted:
             raise StreamError("this side cannot open a stream")
@@ -214,20 +218,20 @@
         return stream
 
     def respond(self, stream: int, head: ResponseHead, *, ended: bool, body: bytes = b"") -> None:
-        """Begin the answer on *stream*, or send it whole with a short *body*."""
+        """Start the response on *stream*; *ended* and *body* are as in open_stream()."""
         state = self._state(stream)
-        if self._opener or state.answered:
-            raise StreamError(f"stream {stream} is answered already")
-        state.answered = True
+        if self._opener or state.responded:
+            raise StreamError(f"stream {stream}: response started already or not allowed")
+        state.responded = True
         state.sent_end = ended
         self._append_head(FrameKind.RESPONSE, stream, encode_response(head), ended, body)
         self._close_if_done(stream, state)
 
     def send_data(self, stream: int, data: bytes, *, ended: bool = False) -> bool:
-        """Send a chunk of a body; return whether the sender may go on at once.
+        """Send a chunk of a body; return whether the sender may continue immediately.
 
-        What the window does not cover is kept and sent later; the sender should
-        then wait for StreamWritable.
+        Data beyond the window is buffered and sent later. The method then returns False, and
+        the sender should wait for StreamWritable.
         """
         state = self._state(stream)
         if state.sent_end or state.end_after_backlog:
@@ -238,7 +242,10 @@
         return not state.backlog
 
     def consumed(self, stream: int, count: int) -> None:
-        """Give the peer back *count* bytes of its window."""
+        """Credit *count* consumed bytes to the peer's window.
+
+        A WINDOW frame is sent once the credit reaches half the window, to send fewer frames.
+        """
         state = self._streams.get(stream)
         if state is None or state.received_end:
             return
@@ -250,7 +257,7 @@
             self._output.append(pack_frame(FrameKind.WINDOW, stream, credit))
 
     def reset(self, stream: int, code: ResetCode) -> None:
-        """Break a stream off; one that has ended is left alone."""
+        """Reset a stream; do nothing if it has ended."""
         if self._streams.pop(stream, None) is not None:
             self._output.append(pack_frame(FrameKind.RESET, stream, b"", int(code)))
 
@@ -260,13 +267,16 @@
         flags = END if ended else 0
         if body:
             if not ended or len(body) > SHORT_BODY:
-                raise StreamError("only a whole, short body travels with its head")
+                raise StreamError(
+                    f"body of {len(body)} bytes: only a complete body of up to {SHORT_BODY} bytes "
+                    "may be sent with its head"
+                )
             flags |= WITH_BODY
             head = pack_with_body(head, body)
         self._output.append(pack_frame(kind, stream, head, flags))
 
     def _flush(self, stream: int, state: _Stream) -> None:
-        """Send what the window allows of the backlog."""
+        """Send as much of the backlog as the window allows."""
         while state.backlog and state.send_window > 0:
             size = min(len(state.backlog), state.send_window, MAX_CHUNK)
             chunk = state.backlog[:size]
@@ -287,7 +297,7 @@
         return state
 
     def _close_if_done(self, stream: int, state: _Stream) -> None:
-        """Forget a stream that both sides have finished."""
+        """Remove a stream that has ended in both directions."""
         if state.sent_end and state.received_end and stream in self._streams:
             del self._streams[stream]
             self._closed.append(stream)
@@ -295,7 +305,7 @@
     # -- receiving ----------------------------------------------------------
 
     def receive(self, data: bytes) -> Iterator[Event]:
-        """Yield what *data* brings; raises FrameError where the connection must end."""
+        """Yield the events for received *data*; raises FrameError if it is invalid."""
         for frame in self._decoder.feed(data):
             event = self._on_frame(frame)
             if event is not None:
@@ -323,9 +333,9 @@
                 return self._on_hello(frame)
 
     def _on_hello(self, frame: Frame) -> Event:
-        if self._greeted:
-            raise FrameError("second greeting")
-        self._greeted = True
+        if self._hello_received:
+            raise FrameError("more than one HELLO frame")
+        self._hello_received = True
         return HelloReceived(decode_hello(frame.payload))
 
     def _on_request(self, frame: Frame) -> Event:
@@ -342,9 +352,9 @@
         if state is None:
             self._check_was_open(frame)
             return None
-        if not self._opener or state.answered:
+        if not self._opener or state.responded:
             raise FrameError(f"stream {frame.stream}: unexpected response")
-        state.answered = True
+        state.responded = True
         ended = bool(frame.flags & END)
         state.received_end = ended
         self._close_if_done(frame.stream, state)
@@ -356,8 +366,8 @@
         if state is None:
             self._check_was_open(frame)
             return None
-        if state.received_end or (self._opener and not state.answered):
-            raise FrameError(f"stream {frame.stream}: data out of place")
+        if state.received_end or (self._opener and not state.responded):
+            raise FrameError(f"stream {frame.stream}: unexpected data")
         state.receive_window -= len(frame.payload)
         if state.receive_window < 0:
             raise FrameError(f"stream {frame.stream}: more data than the window allows")
@@ -393,15 +403,18 @@
         return ResetReceived(frame.stream, code)
 
     def _check_was_open(self, frame: Frame) -> None:
-        """Ignore a frame of a finished stream; one that never was is an error."""
+        """Raise FrameError if the frame's stream was never opened.
+
+        Frames of streams that have ended are ignored, as they may have been in transit.
+        """
         if frame.stream > self._last_stream or frame.stream == 0:
-            raise FrameError(f"{frame.kind.name} on stream {frame.stream}, which never was")
+            raise FrameError(f"{frame.kind.name} on stream {frame.stream}, which was never opened")
 
 
 def _head_and_body(frame: Frame) -> tuple[bytes, bytes]:
-    """Return the head of a frame, and its body where that came along."""
+    """Return the head in a frame, and the body if the frame has one; raises FrameError."""
     if not frame.flags & WITH_BODY:
         return frame.payload, b""
     if not frame.flags & END:
-        raise FrameError(f"stream {frame.stream}: a body with its head, but no end")
+        raise FrameError(f"stream {frame.stream}: head with a body lacks the END flag")
     return split_body(frame.payload)
--- a/packages/state/src/pearward_state/keymap.py
+++ b/packages/state/src/pearward_state/keymap.py
@@ -177,7 +177,7 @@
         return key_map
 
     def _replace_ranges(self, changed: Iterable[KeyRange]) -> tuple[KeyRange, ...]:
-        """Return the map's ranges with each one that overlaps *changed* replaced by it."""
+        """Return the map's ranges with *changed* in place of those that they overlap."""
         result: list[KeyRange] = []
         index = 0
         for r in changed:
