--- a/packages/protocol/src/pearward_protocol/control.py
+++ b/packages/protocol/src/pearward_protocol/control.py
@@ -1,7 +1,7 @@
-"""Control messages between daemons, in Cap'n Proto.
+"""Cap'n Proto encoding of control messages between daemons.
 
-Each message type is a group of the schema's union with the same field names in mixed
-case, so one table of fields serves both directions.
+Each message class corresponds to a group in the union of the schema. The group has the same
+fields in camel case, so that one table of field names is used for encoding and decoding.
 """
 
 from dataclasses import fields, is_dataclass
@@ -60,32 +60,32 @@
     PushChange,
     TargetCrashed,
 )
-_ROWS: dict[str, type[Any]] = {
+_ROW_CLASSES: dict[str, type[Any]] = {
     "entries": VersionedKey,
     "confirmed": HeldRow,
     "counts": KeyCount,
     "rows": ReleasedRow,
     "changes": EntryChange,
 }
-"""Lists of rows, by their name in the schema, and what a row is."""
-_TEXTS = frozenset({"silent", "keys", "ended", "drained", "contents"})
-"""Lists of texts, by their name in the schema."""
+"""Row class of each list of structs, by the list's field name in the schema."""
+_STRING_LISTS = frozenset({"silent", "keys", "ended", "drained", "contents"})
+"""Field names of the lists of strings in the schema."""
 
 
-def _mixed(name: str) -> str:
-    """Return *name* with words joined in mixed case, as the schema has it."""
+def _camel_case(name: str) -> str:
+    """Return *name* in camel case, as used in the schema."""
     first, *rest = name.split("_")
     return first + "".join(word.capitalize() for word in rest)
 
 
 def _group(kind: type[Any]) -> str:
-    """Return the union member that carries *kind*."""
+    """Return the name of the union's group for message class *kind*."""
     return kind.__name__[0].lower() + kind.__name__[1:]
 
 
 _GROUPS = {kind: _group(kind) for kind in _TYPES}
 _KINDS = {group: kind for kind, group in _GROUPS.items()}
-_FIELDS = {kind: [(f.name, _mixed(f.name)) for f in fields(kind)] for kind in _TYPES}
+_FIELDS = {kind: [(f.name, _camel_case(f.name)) for f in fields(kind)] for kind in _TYPES}
 
 
 def encode_control(message: ControlMessage) -> bytes:
@@ -102,7 +102,7 @@
 
 
 def decode_control(payload: bytes) -> ControlMessage:
-    """Read a control message; raises FrameError."""
+    """Decode the payload of a CONTROL frame; raises FrameError."""
     try:
         with schema.Control.from_bytes(payload) as envelope:
             name = str(envelope.which())
@@ -111,22 +111,22 @@
             values = [_from_wire(wire, getattr(group, wire)) for _, wire in _FIELDS[kind]]
             return kind(*values)
     except (capnp.KjException, KeyError, ValueError) as error:
-        raise FrameError(f"control message: {error}") from error
+        raise FrameError(f"invalid control message: {error}") from error
 
 
 def _to_wire(item: Any) -> Any:
-    """Return a list's item as the schema's builder takes it."""
+    """Return a list item in the form that the schema's builder accepts."""
     if is_dataclass(item):
         return {field.name: getattr(item, field.name) for field in fields(item)}
     return item
 
 
 def _from_wire(wire: str, value: Any) -> Any:
-    """Return a field's value without any tie to the message's memory."""
-    row = _ROWS.get(wire)
+    """Return a copy of a field's value that does not refer to the message's buffer."""
+    row = _ROW_CLASSES.get(wire)
     if row is not None:
         names = [field.name for field in fields(row)]
         return tuple(row(*(getattr(entry, name) for name in names)) for entry in value)
-    if wire in _TEXTS:
+    if wire in _STRING_LISTS:
         return tuple(str(item) for item in value)
     return value
--- a/packages/protocol/src/pearward_protocol/entries.py
+++ b/packages/protocol/src/pearward_protocol/entries.py
@@ -1,10 +1,12 @@
-"""Entries of pearward in the platform's store: keys, and values as JSON.
+"""Keys and JSON values of pearward's entries in the platform's store.
 
-``members/<instance>`` tells who takes part, ``holders/<target>`` on which instance a
-target that owns keys runs, ``keymaps/<service>`` who owns which keys,
-``members/crashes/<target>`` what a target was running when it crashed, ``eras/<number>`` that
-maps were written in an era of the store. The platform's
-adapter may put a prefix of its own before them.
+* ``members/<instance>``: a daemon and its local target;
+* ``members/crashes/<target>``: the requests that a target was running when it crashed;
+* ``holders/<target>``: the instance of a target that owns keys;
+* ``keymaps/<service>``: the key map of a service;
+* ``eras/<number>``: exists once a key map has been written in that era of the store.
+
+The platform's adapter may add a prefix to these keys.
 """
 
 import zlib
@@ -53,18 +55,19 @@
 
 MEMBERS = "members/"
 CRASHES = MEMBERS + "crashes/"
-"""Below the members: whoever follows those hears of crashes too, without a call of its own."""
+"""Prefix of crash entries; within MEMBERS, so that a watch on members covers crashes as well."""
 HOLDERS = "holders/"
 KEY_MAPS = "keymaps/"
 ERAS = "eras/"
 
-PACK_LEVEL = 6
-"""Of zlib: a map of 43 owners and 800 ranges takes 1 ms and 8.1 kB in place of 22.7; higher
-levels gain nothing."""
-MOST_UNPACKED = 8 * 1024 * 1024
-"""Bytes that an unpacked entry may have: eight of the largest values that the store takes."""
-MOST_NUMBER = 2**53
-"""Fences and versions stay below: other writers' JSON carries whole numbers up to there."""
+COMPRESSION_LEVEL = 6
+"""zlib level. A map of 43 owners and 800 ranges is compressed from 22.7 kB to 8.1 kB in 1 ms;
+higher levels do not reduce the size further."""
+MAX_UNPACKED_BYTES = 8 * 1024 * 1024
+"""Maximum size of a decompressed entry: eight times the largest value that the store accepts."""
+NUMBER_LIMIT = 2**53
+"""Fences and versions are below this limit, up to which integers in the JSON of other writers are
+exact."""
 
 _T = TypeVar("_T")
 
@@ -75,12 +78,12 @@
 
 
 def crash_key(target: str) -> str:
-    """Return the key of the entry that tells what a target was running when it crashed."""
+    """Return the key of a target's crash entry."""
     return CRASHES + target
 
 
 def holder_key(target: str) -> str:
-    """Return the key of the entry that names a target's instance."""
+    """Return the key of the entry for a target's instance."""
     return HOLDERS + target
 
 
@@ -90,29 +93,32 @@
 
 
 def era_key(era: int) -> str:
-    """Return the key that is there once a key map was written in an era of the store."""
+    """Return the key that exists once a key map has been written in *era*."""
     return f"{ERAS}{era}"
 
 
 def packed(entry: bytes) -> bytes:
-    """Return an entry as it travels between daemons."""
-    return zlib.compress(entry, PACK_LEVEL)
+    """Return an entry compressed for transfer between daemons."""
+    return zlib.compress(entry, COMPRESSION_LEVEL)
 
 
 def unpacked(data: bytes) -> bytes:
-    """Return the entry that packed() was given; raises InvalidRecord."""
-    inflater = zlib.decompressobj()
+    """Return the entry that packed() compressed; raises InvalidRecord."""
+    decompressor = zlib.decompressobj()
     try:
-        entry = inflater.decompress(data, MOST_UNPACKED)
+        entry = decompressor.decompress(data, MAX_UNPACKED_BYTES)
     except zlib.error as error:
-        raise InvalidRecord(f"packed entry of {len(data)} bytes: {error}") from error
-    if not inflater.eof:
-        raise InvalidRecord(f"packed entry of {len(data)} bytes is not whole, or over the limit")
+        raise InvalidRecord(f"compressed entry of {len(data)} bytes: {error}") from error
+    if not decompressor.eof:
+        raise InvalidRecord(
+            f"compressed entry of {len(data)} bytes is truncated or exceeds "
+            f"{MAX_UNPACKED_BYTES} bytes when decompressed"
+        )
     return entry
 
 
 def encode_member(member: Member) -> bytes:
-    """Return a member's entry."""
+    """Return the value of a member's entry."""
     return orjson.dumps(
         {
             "instance": member.instance,
@@ -131,7 +137,7 @@
 
 
 def decode_member(value: bytes) -> Member:
-    """Read a member's entry; raises InvalidRecord."""
+    """Decode the value of a member's entry; raises InvalidRecord."""
 
     def read(reader: FieldReader) -> Member:
         return Member(
@@ -152,7 +158,7 @@
 
 
 def encode_holder(holder: Holder) -> bytes:
-    """Return the entry that names a target's instance."""
+    """Return the value of the entry for a target's instance."""
     return orjson.dumps(
         {
             "target": holder.target,
@@ -162,19 +168,19 @@
 
 
 def decode_holder(value: bytes) -> Holder:
-    """Read the entry that names a target's instance; raises InvalidRecord."""
+    """Decode the value of the entry for a target's instance; raises InvalidRecord."""
     return _decoded(value, lambda reader: Holder(reader.text("target"), reader.text("instance")))
 
 
 def encode_crash(record: CrashRecord) -> bytes:
-    """Return the entry of a target's crash."""
+    """Return the value of a target's crash entry."""
     return orjson.dumps(
         {"target": record.target, "at": record.at, "contents": list(record.contents)}
     )
 
 
 def decode_crash(value: bytes) -> CrashRecord:
-    """Read the entry of a target's crash; raises InvalidRecord."""
+    """Decode the value of a target's crash entry; raises InvalidRecord."""
 
     def read(reader: FieldReader) -> CrashRecord:
         return CrashRecord(
@@ -185,7 +191,10 @@
 
 
 def encode_key_map(key_map: KeyMap) -> bytes:
-    """Return a key map's entry; targets are written once and named by number."""
+    """Return the value of a key map's entry.
+
+    Each target is listed once, and the ranges refer to it by its index.
+    """
     targets, ranges = _rows(key_map.ranges)
     return orjson.dumps(
         {
@@ -201,7 +210,7 @@
 
 
 def decode_key_map(value: bytes) -> KeyMap:
-    """Read a key map; raises InvalidRecord, also where keys are missing or stand twice."""
+    """Decode a key map; raises InvalidRecord, also if its ranges have gaps or overlap."""
 
     def read(reader: FieldReader) -> KeyMap:
         ranges = _ranges(reader)
@@ -217,7 +226,7 @@
 
 
 def encode_key_map_change(change: KeyMapChange) -> bytes:
-    """Return a change of a key map as it travels between daemons."""
+    """Return the JSON form of a key map change, for transfer between daemons."""
     targets, ranges = _rows(change.ranges)
     return orjson.dumps(
         {
@@ -236,7 +245,7 @@
 
 
 def decode_key_map_change(value: bytes) -> KeyMapChange:
-    """Read a change of a key map as it travels between daemons; raises InvalidRecord."""
+    """Decode a key map change from another daemon; raises InvalidRecord."""
 
     def read(reader: FieldReader) -> KeyMapChange:
         return KeyMapChange(
@@ -250,18 +259,18 @@
 
 
 def _rows(ranges: tuple[KeyRange, ...]) -> tuple[list[str], list[list[Any]]]:
-    """Return the targets that ranges name, and the ranges with their numbers."""
+    """Return the targets of the ranges, and the ranges as rows with indices of targets."""
     names = {r.owner for r in ranges if r.owner}
     names.update(p.target for r in ranges for p in r.predecessors)
     targets = sorted(names)
-    number = {target: index for index, target in enumerate(targets)}
+    index_of = {target: index for index, target in enumerate(targets)}
     rows = [
         [
             r.first,
             r.last,
-            number.get(r.owner, -1),
+            index_of.get(r.owner, -1),
             r.fence,
-            [[number[p.target], p.fence] for p in r.predecessors],
+            [[index_of[p.target], p.fence] for p in r.predecessors],
         ]
         for r in ranges
     ]
@@ -274,46 +283,53 @@
 
 
 def _range(row: list[Any], targets: list[str]) -> KeyRange:
-    """Read first and last key, number of the owner, fence, and predecessors with fences."""
-    first, last, owner, fence, before = row
+    """Decode a row: first key, last key, index of the owner, fence, predecessor rows.
+
+    An owner of -1 stands for none.
+    """
+    first, last, owner, fence, predecessor_rows = row
     for number in (first, last, owner, fence):
-        if type(number) is not int or number >= MOST_NUMBER:
-            raise InvalidRecord(f"{row!r}: {number!r}: expected a whole number")
+        if type(number) is not int or number >= NUMBER_LIMIT:
+            raise InvalidRecord(f"{row!r}: {number!r}: expected an integer below {NUMBER_LIMIT}")
     if not 0 <= first <= last < KEY_SPACE or not -1 <= owner < len(targets) or fence < 0:
-        raise InvalidRecord(f"{row!r}: no keys, owner and fence of a range")
+        raise InvalidRecord(f"{row!r}: invalid keys, owner or fence in a key range")
     name = targets[owner] if owner >= 0 else ""
-    predecessors = tuple([_predecessor(each, targets) for each in before]) if before else ()
+    predecessors = (
+        tuple([_predecessor(each, targets) for each in predecessor_rows])
+        if predecessor_rows
+        else ()
+    )
     return KeyRange(first, last, name, fence, predecessors)
 
 
 def _predecessor(row: list[Any], targets: list[str]) -> Predecessor:
     number, fence = row
     if type(number) is not int or type(fence) is not int or not 0 <= number < len(targets):
-        raise InvalidRecord(f"{row!r}: no predecessor of a range")
-    if not 0 <= fence < MOST_NUMBER:
-        raise InvalidRecord(f"{row!r}: {fence!r}: no fence")
+        raise InvalidRecord(f"{row!r}: invalid predecessor of a key range")
+    if not 0 <= fence < NUMBER_LIMIT:
+        raise InvalidRecord(f"{row!r}: {fence!r}: fence out of bounds")
     return Predecessor(targets[number], fence)
 
 
 def _witnesses(reader: FieldReader) -> tuple[TargetWitnesses, ...]:
     rows = reader.raw("witnesses", {})
     if not isinstance(rows, dict):
-        raise InvalidField(reader.path("witnesses"), rows, "expected a table")
+        raise InvalidField(reader.path("witnesses"), rows, "expected an object")
     return tuple(
-        TargetWitnesses(target, tuple(tuple(_texts(names)) for names in sets))
+        TargetWitnesses(target, tuple(tuple(_check_strings(names)) for names in sets))
         for target, sets in sorted(rows.items())
     )
 
 
-def _texts(values: list[Any]) -> list[str]:
-    """Return a list of texts as it is; raises InvalidRecord for anything else."""
+def _check_strings(values: list[Any]) -> list[str]:
+    """Return *values* unchanged; raises InvalidRecord unless it is a list of strings."""
     if not isinstance(values, list) or not all(isinstance(value, str) for value in values):
-        raise InvalidRecord(f"{values!r}: expected a list of texts")
+        raise InvalidRecord(f"{values!r}: expected a list of strings")
     return values
 
 
 def _decoded(value: bytes, read: Callable[[FieldReader], _T]) -> _T:
-    """Read a JSON object with *read*; anything that it stumbles over becomes InvalidRecord."""
+    """Decode a JSON object with *read*; raises InvalidRecord for any error in the data."""
     try:
         data = orjson.loads(value)
         if not isinstance(data, dict):
--- a/packages/protocol/src/pearward_protocol/etcd.py
+++ b/packages/protocol/src/pearward_protocol/etcd.py
@@ -1,8 +1,8 @@
-"""The platform's key-value service: etcd v3's JSON over HTTP mapping.
+"""JSON messages of the platform's key-value service, in the etcd v3 HTTP mapping.
 
 Source: etcd's published gRPC gateway (``/v3/kv/range``, ``/v3/kv/txn``,
 ``/v3/lease/grant``, ``/v3/lease/keepalive``, ``/v3/lease/revoke``, ``/v3/watch``). Keys
-and values travel in base64, 64-bit integers as strings.
+and values are encoded in base64, 64-bit integers as strings.
 """
 
 import base64
@@ -36,7 +36,7 @@
 
 
 class Path:
-    """Paths of the calls that are used."""
+    """URL paths of the calls that pearward uses."""
 
     RANGE = "/v3/kv/range"
     TXN = "/v3/kv/txn"
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyValue:
-    """A key with its value and the revision of its last change."""
+    """A key with its value, the revision of its last change, and its lease (0 for none)."""
 
     key: str
     value: bytes
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchEvent:
-    """A change that a watch reports; *value* is None for a deletion."""
+    """A change reported by a watch; *value* is None for a deletion."""
 
     key: str
     value: bytes | None
@@ -70,13 +70,13 @@
 
 
 def prefix_end(prefix: str) -> bytes:
-    """Return the end of the range of keys that start with *prefix*."""
+    """Return the exclusive end of the range of keys that start with *prefix*."""
     raw = prefix.encode()
     return raw[:-1] + bytes([raw[-1] + 1])
 
 
 def range_body(key: str, *, prefix: bool = False, keys_only: bool = False) -> dict[str, Any]:
-    """Return the body of a range call; *keys_only* leaves the values out of the answer."""
+    """Return the body of a range call; with *keys_only*, the response has no values."""
     body: dict[str, Any] = {"key": _b64(key.encode())}
     if prefix:
         body["range_end"] = _b64(prefix_end(key))
@@ -86,7 +86,10 @@
 
 
 def txn_body(key: str, expected_revision: int, value: bytes | None, lease: int) -> dict[str, Any]:
-    """Return the body of a compare-and-swap: revision 0 stands for an absent key."""
+    """Return the body of a compare-and-swap.
+
+    An *expected_revision* of 0 means that the key is absent; a *value* of None deletes the key.
+    """
     name = _b64(key.encode())
     compare = {
         "key": name,
@@ -105,22 +108,22 @@
 
 
 def lease_body(ttl_s: int) -> dict[str, Any]:
-    """Return the body of a lease grant; the service chooses the id."""
+    """Return the body of a lease grant, in which the service assigns the id."""
     return {"TTL": str(ttl_s), "ID": "0"}
 
 
 def keepalive_body(lease: int) -> dict[str, Any]:
-    """Return the body of a keep-alive."""
+    """Return the body of a lease keep-alive."""
     return {"ID": str(lease)}
 
 
 def revoke_body(lease: int) -> dict[str, Any]:
-    """Return the body of a lease's end."""
+    """Return the body of a lease revocation."""
     return {"ID": str(lease)}
 
 
 def watch_body(key: str, *, prefix: bool, start_revision: int = 0) -> dict[str, Any]:
-    """Return the body that creates a watch."""
+    """Return the body that creates a watch; *start_revision* 0 starts at the next change."""
     create: dict[str, Any] = range_body(key, prefix=prefix)
     if start_revision:
         create["start_revision"] = str(start_revision)
@@ -128,19 +131,19 @@
 
 
 def encode_json(body: Mapping[str, Any]) -> bytes:
-    """Return *body* as it is sent."""
+    """Return *body* encoded for sending."""
     return json.dumps(body, separators=(",", ":")).encode()
 
 
 def parse_json(data: bytes) -> dict[str, Any]:
-    """Read an answer; raises BadPlatformAnswer."""
+    """Decode a response, which must be a JSON object; raises BadPlatformAnswer."""
     try:
-        answer = json.loads(data)
+        response = json.loads(data)
     except ValueError as error:
-        raise BadPlatformAnswer(f"no JSON: {data[:80]!r}") from error
-    if not isinstance(answer, dict):
-        raise BadPlatformAnswer(f"no object: {data[:80]!r}")
-    return answer
+        raise BadPlatformAnswer(f"response is not JSON: {data[:80]!r}") from error
+    if not isinstance(response, dict):
+        raise BadPlatformAnswer(f"response is not a JSON object: {data[:80]!r}")
+    return response
 
 
 def _key_value(raw: Mapping[str, Any]) -> KeyValue:
@@ -155,36 +158,39 @@
         raise BadPlatformAnswer(f"key-value {raw!r}: {error}") from error
 
 
-def parse_range(answer: Mapping[str, Any]) -> list[KeyValue]:
-    """Return the key-values of a range answer."""
-    return [_key_value(raw) for raw in answer.get("kvs", [])]
+def parse_range(response: Mapping[str, Any]) -> list[KeyValue]:
+    """Return the key-value pairs in a range response; raises BadPlatformAnswer."""
+    return [_key_value(raw) for raw in response.get("kvs", [])]
 
 
-def parse_txn_succeeded(answer: Mapping[str, Any]) -> bool:
-    """Return whether a compare-and-swap was made."""
-    return bool(answer.get("succeeded", False))
+def parse_txn_succeeded(response: Mapping[str, Any]) -> bool:
+    """Return whether a compare-and-swap succeeded."""
+    return bool(response.get("succeeded", False))
 
 
-def parse_lease_id(answer: Mapping[str, Any]) -> int:
-    """Return the id of a granted lease."""
+def parse_lease_id(response: Mapping[str, Any]) -> int:
+    """Return the id of a granted lease; raises BadPlatformAnswer."""
     try:
-        return int(answer["ID"])
+        return int(response["ID"])
     except (KeyError, ValueError) as error:
-        raise BadPlatformAnswer(f"lease grant {answer!r}") from error
+        raise BadPlatformAnswer(f"lease grant {response!r}") from error
 
 
-def parse_lease_ttl(answer: Mapping[str, Any]) -> int:
-    """Return the seconds that a kept-alive lease has left; 0 when it has run out."""
-    result = answer.get("result", answer)
+def parse_lease_ttl(response: Mapping[str, Any]) -> int:
+    """Return the remaining seconds of a lease from a keep-alive response; 0 if it expired."""
+    result = response.get("result", response)
     return int(result.get("TTL", 0))
 
 
 def parse_watch_line(line: bytes) -> list[WatchEvent]:
-    """Return the events of one line of a watch's stream."""
-    answer = parse_json(line)
-    if "error" in answer:
-        raise BadPlatformAnswer(f"watch: {answer['error']!r}")
-    result = answer.get("result", {})
+    """Return the events in one line of a watch's response stream.
+
+    Raises BadPlatformAnswer, also if the line reports an error or that the watch was cancelled.
+    """
+    response = parse_json(line)
+    if "error" in response:
+        raise BadPlatformAnswer(f"watch: {response['error']!r}")
+    result = response.get("result", {})
     if result.get("canceled"):
         raise BadPlatformAnswer(f"watch cancelled: {result.get('cancel_reason', '')!r}")
     events: list[WatchEvent] = []
--- a/packages/protocol/src/pearward_protocol/frames.py
+++ b/packages/protocol/src/pearward_protocol/frames.py
@@ -27,7 +27,7 @@
 _HEADER = struct.Struct(">BBHII")
 HEADER_SIZE = _HEADER.size
 MAX_PAYLOAD = 2 * 1024 * 1024
-"""Maximum payload size in bytes: twice that of a large record (1 MiB)."""
+"""Maximum payload size in bytes: a record of a megabyte plus a margin."""
 END = 0x01
 """Flag: the sender's half of the stream ends with this frame."""
 
@@ -42,8 +42,8 @@
     """Type of a frame's payload."""
 
     HELLO = 0xA7
-    """First frame in each direction. Its number is not an ASCII character, so that connections
-    which use another protocol are rejected at the first frame."""
+    """First frame in each direction. Its number is unlikely to start another protocol, so that
+    connections of other protocols are rejected at their first bytes."""
     REQUEST = 2
     RESPONSE = 3
     DATA = 4
--- a/packages/protocol/src/pearward_protocol/httpmap.py
+++ b/packages/protocol/src/pearward_protocol/httpmap.py
@@ -1,4 +1,4 @@
-"""Headers by which callers, daemons and servers speak of a request over HTTP/1.1."""
+"""HTTP/1.1 headers of pearward between callers, daemons and servers."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
@@ -21,7 +21,7 @@
 
 
 class HeaderName:
-    """Names of pearward's own headers."""
+    """Names of pearward's own headers, and of the standard Idempotency-Key header."""
 
     SERVICE = b"Pearward-Service"
     KEY = b"Pearward-Key"
@@ -56,18 +56,18 @@
         b"expect",
     }
 )
-_OWN = frozenset(
+_PEARWARD_HEADERS = frozenset(
     name.lower()
     for label, name in vars(HeaderName).items()
     if not label.startswith("_") and name != HeaderName.IDEMPOTENCY_KEY
 )
 _REPEATABLE_METHODS = frozenset({b"GET", b"HEAD", b"PUT", b"DELETE", b"OPTIONS", b"TRACE"})
-MAX_TENANT = 64
+MAX_TENANT_LENGTH = 64
 
 
 @dataclass(frozen=True, slots=True)
 class RequestLimits:
-    """Limits on what a caller may ask for; settings."""
+    """Configurable limits on the values in a caller's headers."""
 
     default_deadline_ms: int = 30_000
     max_deadline_ms: int = 3_600_000
@@ -77,18 +77,20 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestContext:
-    """What the headers of a request say about how it is to be treated."""
+    """Routing and scheduling parameters from the headers of a request."""
 
     service: str
     key: bytes
     request_id: bytes
-    """Empty where the caller gave none."""
+    """Empty if the caller gave none."""
     deadline_ms: int
     request_class: RequestClass | None
-    """None where the service's own default applies."""
+    """None if the default of the service applies."""
     tenant: str
     repeatable: bool
+    """Whether the request may be executed more than once."""
     age_ms: int
+    """Milliseconds since an earlier submission of the request, as given by the caller."""
 
 
 def _text(name: bytes, value: bytes) -> str:
@@ -98,8 +100,8 @@
         raise BadHeader(name.decode(), value, "expected ASCII") from None
 
 
-def _whole(get: HeaderReader, name: bytes, default: int, low: int, high: int) -> int:
-    """Return a header's whole number."""
+def _integer(get: HeaderReader, name: bytes, default: int, low: int, high: int) -> int:
+    """Return the integer in header *name*, or *default* if the header is absent."""
     value = get(name)
     if value is None:
         return default
@@ -109,7 +111,10 @@
 
 
 def _repeatable(get: HeaderReader, method: bytes) -> bool:
-    """Return whether the request may run more than once; the method's semantics by default."""
+    """Return whether the request may be executed more than once.
+
+    Without the header, this depends on whether the method is idempotent.
+    """
     value = get(HeaderName.REPEATABLE)
     if value is None:
         return method in _REPEATABLE_METHODS
@@ -130,7 +135,7 @@
 
 
 def read_context(method: bytes, get: HeaderReader, limits: RequestLimits) -> RequestContext:
-    """Read a caller's headers; raises BadHeader, which names the offending value."""
+    """Parse a caller's headers; raises BadHeader with the header's name and invalid value."""
     service = get(HeaderName.SERVICE)
     if not service:
         raise BadHeader(HeaderName.SERVICE.decode(), service, "is required")
@@ -143,35 +148,35 @@
             HeaderName.REQUEST_ID.decode(), len(request_id), f"over {limits.max_id_bytes} bytes"
         )
     tenant = _text(HeaderName.TENANT, get(HeaderName.TENANT) or b"-")
-    if len(tenant) > MAX_TENANT:
-        raise BadHeader(HeaderName.TENANT.decode(), tenant, f"over {MAX_TENANT} characters")
+    if len(tenant) > MAX_TENANT_LENGTH:
+        raise BadHeader(HeaderName.TENANT.decode(), tenant, f"over {MAX_TENANT_LENGTH} characters")
     return RequestContext(
         service=_text(HeaderName.SERVICE, service),
         key=key,
         request_id=request_id,
-        deadline_ms=_whole(
+        deadline_ms=_integer(
             get, HeaderName.DEADLINE_MS, limits.default_deadline_ms, 1, limits.max_deadline_ms
         ),
         request_class=_class(get),
         tenant=tenant,
         repeatable=_repeatable(get, method),
-        age_ms=_whole(get, HeaderName.AGE_MS, 0, 0, 2**31),
+        age_ms=_integer(get, HeaderName.AGE_MS, 0, 0, 2**31),
     )
 
 
 def join_headers(raw: Iterable[tuple[bytes, Iterable[bytes]]]) -> bytes:
-    """Return the end-to-end headers of *raw* as one block; hop-by-hop and own ones are dropped."""
+    """Return *raw* as a header block without hop-by-hop headers and pearward's own."""
     lines: list[bytes] = []
     for name, values in raw:
         lower = name.lower()
-        if lower in _HOP_BY_HOP or lower in _OWN:
+        if lower in _HOP_BY_HOP or lower in _PEARWARD_HEADERS:
             continue
         lines.extend(name + b": " + value + b"\r\n" for value in values)
     return b"".join(lines)
 
 
 def split_headers(block: bytes) -> list[tuple[bytes, bytes]]:
-    """Return the headers of a block that join_headers wrote."""
+    """Return the names and values in a header block from join_headers."""
     pairs: list[tuple[bytes, bytes]] = []
     for line in block.split(b"\r\n"):
         name, found, value = line.partition(b": ")
@@ -189,5 +194,5 @@
 
 
 def status_for(outcome: Outcome) -> int:
-    """Return the HTTP status of an answer that pearward makes itself."""
+    """Return the HTTP status of a response that pearward generates itself."""
     return _STATUSES[outcome]
--- a/packages/protocol/src/pearward_protocol/peer.capnp
+++ b/packages/protocol/src/pearward_protocol/peer.capnp
@@ -1,5 +1,5 @@
-# Messages between pearward daemons. Framing is in frames.py; only heads and control
-# messages are Cap'n Proto, bodies travel as raw bytes.
+# Messages between pearward daemons. The framing is defined in frames.py. Only heads and
+# control messages use Cap'n Proto; bodies are sent as raw bytes.
 @0xb3f0c1a5d7e94c21;
 
 struct Hello {
--- a/packages/protocol/src/pearward_protocol/streams.py
+++ b/packages/protocol/src/pearward_protocol/streams.py
@@ -244,7 +244,7 @@
     def consumed(self, stream: int, count: int) -> None:
         """Credit *count* consumed bytes to the peer's window.
 
-        A WINDOW frame is sent once the credit reaches half the window, to send fewer frames.
+        The credit is accumulated and sent in a WINDOW frame once it reaches half the window.
         """
         state = self._streams.get(stream)
         if state is None or state.received_end:
--- a/packages/protocol/src/pearward_protocol/way_time.py
+++ b/packages/protocol/src/pearward_protocol/way_time.py
@@ -1,38 +1,45 @@
-"""How long frames were on their way from a peer whose clock shows another time.
+"""Estimate of the extra time that frames spent in transit, without synchronised clocks.
 
-A daemon that stood still finds requests in the kernel's buffers that came meanwhile. What
-their callers allow was counted from the sending, and may be over. The two clocks differ by
-an unknown time; the least difference seen is that of a frame that did not wait. No I/O and
-no clock.
+After a daemon has been suspended, the kernel's buffers hold requests that arrived in the
+meantime. Their time limits count from the sending and may have expired. The offset between the
+clocks of the two daemons is unknown; the smallest difference between arrival and sending is
+taken as that of a frame which was not delayed. This module performs no I/O and reads no clock.
 """
 
 __all__ = ["WayTime"]
 
-MOST_S = 60.0
-"""Seconds that a frame can have waited at most: more tells of a clock that cannot be compared."""
-DRIFT = 0.04
-"""Seconds in a second by which two steady clocks may part, each being off by 2%."""
+MAX_DELAY_S = 60.0
+"""Longest plausible delay in s. A larger value means that the peer's clock was set or restarted, so
+that its times cannot be compared with the earlier ones."""
+MAX_CLOCK_DRIFT = 0.04
+"""Maximum relative drift in s per s between two steady clocks, each of which is off by up to 2%."""
 
 
 class WayTime:
-    """The frames of one connection."""
+    """Delay estimate for the frames received on one connection."""
 
     def __init__(self) -> None:
-        self._least_s: float | None = None
-        """Least difference between arrival and sending, each by its own clock."""
-        self._seen_at = 0.0
+        self._min_difference_s: float | None = None
+        """Smallest difference between arrival and sending, each by its own clock."""
+        self._min_seen_at = 0.0
+        """Local time in s at which that difference was observed."""
 
     def waited_s(self, sent: float, now: float) -> float:
-        """Return for how many seconds longer than others a frame was on its way.
+        """Return the seconds by which a frame was in transit longer than the fastest one.
 
-        *sent* is a time in s of the peer's clock, *now* of this daemon's.
+        *sent* is in s of the peer's clock, *now* in s of the local clock. Allowed clock drift is
+        subtracted. If there is no delay, or an implausible one, the frame becomes the reference
+        for the next frames and 0 is returned.
         """
-        apart_s = now - sent
-        if self._least_s is None:
+        difference_s = now - sent
+        if self._min_difference_s is None:
             waited_s = 0.0
         else:
-            waited_s = max(0.0, apart_s - self._least_s - DRIFT * (now - self._seen_at))
-        if 0.0 < waited_s <= MOST_S:
+            waited_s = max(
+                0.0,
+                difference_s - self._min_difference_s - MAX_CLOCK_DRIFT * (now - self._min_seen_at),
+            )
+        if 0.0 < waited_s <= MAX_DELAY_S:
             return waited_s
-        self._least_s, self._seen_at = apart_s, now
+        self._min_difference_s, self._min_seen_at = difference_s, now
         return 0.0
