--- a/packages/protocol/src/pearward_protocol/entries.py
+++ b/packages/protocol/src/pearward_protocol/entries.py
@@ -283,11 +283,8 @@
 
 
 def _range(row: list[Any], targets: list[str]) -> KeyRange:
-    """Decode a row: first key, last key, index of the owner, fence, predecessor rows.
-
-    An owner of -1 stands for none.
-    """
-    first, last, owner, fence, predecessor_rows = row
+    """Decode a row: first key, last key, index of the owner (-1 for none), fence, predecessors."""
+    first, last, owner, fence, former_owners = row
     for number in (first, last, owner, fence):
         if type(number) is not int or number >= NUMBER_LIMIT:
             raise InvalidRecord(f"{row!r}: {number!r}: expected an integer below {NUMBER_LIMIT}")
@@ -295,9 +292,7 @@
         raise InvalidRecord(f"{row!r}: invalid keys, owner or fence in a key range")
     name = targets[owner] if owner >= 0 else ""
     predecessors = (
-        tuple([_predecessor(each, targets) for each in predecessor_rows])
-        if predecessor_rows
-        else ()
+        tuple([_predecessor(each, targets) for each in former_owners]) if former_owners else ()
     )
     return KeyRange(first, last, name, fence, predecessors)
 
--- a/packages/protocol/src/pearward_protocol/heads.py
+++ b/packages/protocol/src/pearward_protocol/heads.py
@@ -70,7 +70,7 @@
     task_id: str
     """Id that correlates the logs of all daemons for this request."""
     position: int
-    """Hash value of the key."""
+    """Position in the key space: the hash of the key, or the key itself if it is a number."""
     body_length: int
     """Size of the body in bytes; -1 if unknown."""
     target: str = ""
