--- a/packages/protocol/src/pearward_protocol/streams.py
+++ b/packages/protocol/src/pearward_protocol/streams.py
@@ -268,8 +268,8 @@
         if body:
             if not ended or len(body) > SHORT_BODY:
                 raise StreamError(
-                    f"body of {len(body)} bytes: only a complete body of up to {SHORT_BODY} bytes "
-                    "may be sent with its head"
+                    f"body of {len(body)} bytes: only a complete body of up to "
+                    f"{SHORT_BODY} bytes may be sent with its head"
                 )
             flags |= WITH_BODY
             head = pack_with_body(head, body)
