--- a/packages/coordination/src/pearward_coordination/__init__.py
+++ b/packages/coordination/src/pearward_coordination/__init__.py
@@ -1,5 +1,5 @@
 """Decisions of pearward: leases, assignment, routing, retries, admission.
 
-Everything here is sans-I/O: an event and the time go in, actions come out. Clocks
-and random sources are handed in.
+All modules are sans-I/O: they take events and the current time and return actions. Clocks and
+random sources are passed in.
 """
--- a/packages/coordination/src/pearward_coordination/admission.py
+++ b/packages/coordination/src/pearward_coordination/admission.py
@@ -1,7 +1,7 @@
-"""Which requests the server beside this daemon runs now, and which wait, in what order.
+"""Admission control for the local server: running slots and queues by request class.
 
-The daemon sees every request to its server, so slots are counted exactly. A request
-that cannot be served in time is refused at once instead of waiting in vain.
+The daemon handles every request to its server, so that slots are counted exactly. A request that
+cannot be served before its deadline is refused at once instead of being queued.
 """
 
 from collections import OrderedDict, deque
@@ -13,12 +13,12 @@
 __all__ = ["AdmissionLimits", "AdmissionQueue", "Decision", "Shed", "Ticket"]
 
 SERVICE_TIME_WEIGHT = 0.05
-"""Weight of the newest request in the moving mean of running times."""
+"""Weight of the newest request in the exponential moving average of running times."""
 MIN_RETRY_AFTER_S = 0.1
 
 
 class Decision(Enum):
-    """What happens to a request that was offered."""
+    """Decision on a request that was offered."""
 
     START = "start"
     QUEUED = "queued"
@@ -31,14 +31,14 @@
 
     slots: int = 12
     queue: int = 64
-    """Requests of one class that may wait."""
+    """Maximum number of queued requests of one class."""
     export_slots: int = 6
-    """Slots that exports may hold at most; the rest stay for the other classes."""
+    """Maximum number of slots for exports; the others are reserved for the other classes."""
 
 
 @dataclass(slots=True, eq=False)
 class Ticket:
-    """One request's place."""
+    """Slot or queue entry of one request."""
 
     request_class: RequestClass
     tenant: str
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Shed:
-    """A refused request: it was not run."""
+    """Refusal of a request that was not run."""
 
     reason: Reason
     retry_after_s: float
@@ -57,7 +57,7 @@
 
 @dataclass(slots=True)
 class _ClassQueue:
-    """Waiting tickets of one class, in turn by tenant."""
+    """Queued tickets of one class, in round robin order of tenants."""
 
     tenants: "OrderedDict[str, deque[Ticket]]" = field(default_factory=OrderedDict)
     length: int = 0
@@ -67,7 +67,7 @@
         self.length += 1
 
     def pop(self) -> Ticket:
-        """Take the first ticket of the tenant whose turn it is; that tenant goes last."""
+        """Remove the first ticket of the next tenant and move that tenant to the end."""
         tenant, tickets = self.tenants.popitem(last=False)
         ticket = tickets.popleft()
         if tickets:
@@ -94,16 +94,16 @@
 
     @property
     def running(self) -> int:
-        """Requests that hold a slot."""
+        """Number of requests that hold a slot."""
         return sum(self._running.values())
 
     @property
     def waiting(self) -> int:
-        """Requests that wait for a slot."""
+        """Number of requests that wait for a slot."""
         return sum(queue.length for queue in self._queues.values())
 
     def set_limits(self, limits: AdmissionLimits) -> None:
-        """Apply *limits* from now on; running requests are never cut for a lower one."""
+        """Apply *limits* to later requests; running ones are not aborted for a lower limit."""
         self._limits = limits
 
     def offer(self, ticket: Ticket, now: float) -> Decision | Shed:
@@ -122,7 +122,7 @@
         return Decision.QUEUED
 
     def finish(self, ticket: Ticket, now: float) -> None:
-        """Free the slot of a request that ended, or the place of one that waited."""
+        """Free the slot of a request that ended, or the queue entry of one that waited."""
         if ticket.waiting:
             ticket.waiting = False
             self._queues[ticket.request_class].remove(ticket)
@@ -161,6 +161,6 @@
         return self._running[request_class] < max(1, self._limits.export_slots)
 
     def _expected_wait(self, request_class: RequestClass) -> float:
-        """Return the seconds until a request that is queued now would start."""
+        """Return the expected seconds until a request that is queued now starts."""
         ahead = sum(self._queues[c].length for c in RequestClass if c <= request_class)
         return (ahead + 1) * self._mean_s[request_class] / max(1, self._limits.slots)
--- a/packages/coordination/src/pearward_coordination/agent.py
+++ b/packages/coordination/src/pearward_coordination/agent.py
@@ -1,7 +1,7 @@
-"""One daemon's part in its cell: owner, witness and member at once.
+"""One daemon's roles in its cell: owner, witness and member.
 
-:class:`CellAgent` takes events and the time and returns actions. The runtime sends
-the messages, asks the server for grants and aborts the requests that it is told to.
+:class:`CellAgent` takes events and the current time and returns actions. The runtime carries them
+out: it sends the messages, grants shards to the server and aborts requests.
 """
 
 from dataclasses import dataclass
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GrantServer:
-    """Tell the server beside this daemon all the shards that it owns now."""
+    """Send the local server the full set of shards that it may serve now."""
 
     version: int
     term: int
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Abort:
-    """End these requests without an answer: the permits they run under are void."""
+    """Abort these requests without a response, since their permits are no longer valid."""
 
     runs: tuple[int, ...]
 
@@ -56,7 +56,7 @@
 
 
 class CellAgent:
-    """Owner, witness and member of one cell."""
+    """State machine of one daemon as owner, witness and member of a cell."""
 
     def __init__(self, me: PeerId, identity: Joiner, cell: str, timing: LeaseTiming) -> None:
         self._me = me
@@ -73,10 +73,10 @@
         self._next_heartbeat = NEVER
         self._next_release_poll = NEVER
         self._granted: tuple[int, int] | None = None
-        """Lease term and state of ownership that the server was last told of."""
+        """Lease term and ownership change counter at the last grant that was sent to the server."""
         self._granting = False
         self._votes: dict[tuple[str, int], set[str]] = {}
-        self._told_at = (0, 0)
+        self._release_notified = (0, 0)
         self._draining = False
         self._unreachable = False
         self._healthy = True
@@ -90,27 +90,27 @@
 
     @property
     def lease(self) -> OwnerLease:
-        """The lease that all serving depends on."""
+        """Lease that must be held for this daemon to serve requests."""
         return self._lease
 
     @property
     def ownership(self) -> Ownership:
-        """What this daemon may serve."""
+        """Shards that this daemon owns and may serve."""
         return self._ownership
 
     @property
     def record(self) -> CellRecord | None:
-        """The record that is acted on."""
+        """The record in force at this daemon, or None before the first."""
         return self._ownership.record
 
     @property
     def coordinator(self) -> str:
-        """Address of the cell's coordinator, as far as it is known."""
+        """Address of the cell's coordinator; empty if unknown."""
         return self._coordinator
 
     @property
     def draining(self) -> bool:
-        """Whether this daemon is leaving."""
+        """Whether this daemon is leaving the cell."""
         return self._draining
 
     # -- inputs -------------------------------------------------------------
@@ -122,33 +122,34 @@
             self._next_heartbeat = NEVER
 
     def set_table_version(self, version: int) -> None:
-        """Act on *version* of the service's rows."""
+        """Record the version of the service's rows in force, unless a newer one is recorded."""
         self._table_version = max(self._table_version, version)
 
     def set_health(self, healthy: bool) -> None:
-        """Note whether the server beside this daemon answers."""
+        """Record whether the local server responds."""
         if healthy != self._healthy:
             self._healthy = healthy
             self._granted = None
             self._next_heartbeat = NEVER
 
     def drain(self) -> None:
-        """Ask for this daemon's work to be handed over; it is leaving."""
+        """Request that this daemon's shards are moved to other members, because it is leaving."""
         self._draining = True
         self._next_heartbeat = NEVER
 
     def set_unreachable(self, unreachable: bool) -> None:
-        """Ask others to take over for as long as no answer reaches this daemon.
+        """Request that other members take over while no reply reaches this daemon.
 
-        Its own messages may reach everybody: then nobody misses it, and nobody can renew its
-        lease either (20 of 118 requests unserved, as long as links towards one of four were cut).
+        Its own messages may still reach all others: no witness then reports it as silent, but its
+        lease cannot be renewed either. Without this request, 20 of 118 requests were not served
+        while the links towards one of four daemons were cut.
         """
         if unreachable != self._unreachable:
             self._unreachable = unreachable
             self._next_heartbeat = NEVER
 
     def adopt(self, record: CellRecord, value: bytes, now: float) -> list[Action]:
-        """Act on *record* (stored as *value*) if it is newer than the present one."""
+        """Replace the record with *record* (stored as *value*) if that is newer."""
         if record.version <= self._ownership.adopted:
             return []
         self._record_bytes = value
@@ -163,7 +164,7 @@
         return self.tick(now)
 
     def server_granted(self, grant: GrantServer, accepted: bool, now: float) -> list[Action]:
-        """Note the server's answer to *grant*; a refusal or silence is tried again."""
+        """Record the server's response to *grant*; send it again if it was not accepted."""
         self._granting = False
         if accepted:
             self._ownership.server_granted(list(grant.shards), grant.term, now)
@@ -173,17 +174,17 @@
         return self.tick(now)
 
     def server_forgot(self) -> None:
-        """Grant everything anew: the server refused a request for want of a grant."""
+        """Send all grants again, after the server has refused a request because it had no grant."""
         self._granted = None
 
     def finished(self, run: int, now: float) -> list[Action]:
-        """Note the end of a request; the last one on a taken shard completes its release."""
+        """Record the end of a request; the last one on a taken shard completes its release."""
         before = self._ownership.released
         self._ownership.finished(run)
-        return self._tell_successors(now) if self._ownership.released != before else []
+        return self._notify_successors(now) if self._ownership.released != before else []
 
     def receive(self, sender: PeerId, message: ControlMessage, now: float) -> list[Action]:
-        """Act on a message of the lease protocol."""
+        """Process a message of the lease protocol; ignore other messages."""
         match message:
             case Renew():
                 return self._on_renew(sender, message, now)
@@ -200,7 +201,7 @@
                 return []
 
     def tick(self, now: float) -> list[Action]:
-        """Do what is due at *now*."""
+        """Return the actions that are due at *now*."""
         actions: list[Action] = []
         lapsed = self._ownership.lapsed_runs(now)
         if lapsed:
@@ -215,11 +216,11 @@
             self._next_heartbeat = now + self._timing.heartbeat_s
             actions.append(Send(self._coordinator, self.heartbeat(now)))
         actions += self._server_grant(now)
-        actions += self._tell_successors(now)
+        actions += self._notify_successors(now)
         return actions
 
     def heartbeat(self, now: float) -> Heartbeat:
-        """Return the report to the coordinator."""
+        """Return the heartbeat for the coordinator."""
         ownership = self._ownership
         record = ownership.record
         return Heartbeat(
@@ -241,7 +242,7 @@
     # -- owner --------------------------------------------------------------
 
     def _renewals(self, now: float) -> list[Action]:
-        """Ask every witness for a renewal."""
+        """Request a renewal from every witness."""
         record = self._ownership.record
         member = record.member(self._me.incarnation) if record is not None else None
         if record is None or member is None:
@@ -251,7 +252,7 @@
             witness = record.member(name)
             if witness is None:
                 continue
-            ask = Renew(
+            request = Renew(
                 self._cell,
                 self._lease.renewal_sent(name, now),
                 record.version,
@@ -259,10 +260,10 @@
                 self._table_version,
             )
             if name == self._me.incarnation:
-                reply = self._witness.on_renew(name, ask, record, self._table_version, now)
+                reply = self._witness.on_renew(name, request, record, self._table_version, now)
                 actions += self._on_renew_reply(self._me, reply, now)
             else:
-                actions.append(Send(witness.peer, ask))
+                actions.append(Send(witness.peer, request))
         return actions
 
     def _on_renew_reply(self, sender: PeerId, reply: RenewReply, now: float) -> list[Action]:
@@ -279,7 +280,7 @@
         return []
 
     def _release_polls(self, now: float) -> list[Action]:
-        """Ask the witnesses of earlier owners whether those can still act."""
+        """Query the witnesses of earlier owners whether these can still act."""
         record = self._ownership.record
         if record is None:
             return []
@@ -288,14 +289,14 @@
             earlier = record.member(owner)
             if earlier is None:
                 continue
-            ask = AskRelease(self._cell, owner, version)
+            request = AskRelease(self._cell, owner, version)
             for name in dict.fromkeys((*earlier.witnesses, *earlier.former_witnesses)):
                 witness = record.member(name)
                 if name == self._me.incarnation:
-                    reply = self._witness.on_ask_release(ask, record, now)
+                    reply = self._witness.on_ask_release(request, record, now)
                     self._count_release(name, reply)
                 elif witness is not None:
-                    actions.append(Send(witness.peer, ask))
+                    actions.append(Send(witness.peer, request))
         return actions
 
     def _on_release_reply(self, sender: PeerId, reply: ReleaseReply, now: float) -> list[Action]:
@@ -306,7 +307,7 @@
         return []
 
     def _count_release(self, witness: str, reply: ReleaseReply) -> bool:
-        """Note one witness's release; return whether a majority of each set has given it."""
+        """Count one witness's release; return whether a majority of each set has released."""
         if not reply.released:
             return False
         votes = self._votes.setdefault((reply.owner, reply.version), set())
@@ -323,9 +324,9 @@
         return True
 
     def _server_grant(self, now: float) -> list[Action]:
-        """Grant the server what it may have, if that changed since the last grant."""
+        """Grant the server its current shards if they have changed since the last grant."""
         if not self._lease.held(now) or not self._healthy:
-            # Nothing is sent to the server now, and what it still holds has a start-before time.
+            # The server gets no requests now, and those it still has carry a start-before time.
             self._ownership.server_revoked(self._ownership.adopted)
             return []
         if self._granting:
@@ -338,50 +339,52 @@
         shards = tuple(self._ownership.grantable_shards())
         return [GrantServer(self._ownership.adopted, self._lease.term, shards)]
 
-    def _tell_successors(self, now: float) -> list[Action]:
-        """Tell the new owners of taken shards, once, that they are given up."""
+    def _notify_successors(self, now: float) -> list[Action]:
+        """Notify the new owners of taken shards, once, that these are released."""
         record = self._ownership.record
         released = self._ownership.released
         if record is None or record.taken_from.get(self._me.incarnation, released + 1) > released:
             return []
-        if self._told_at == (record.version, released):
+        if self._release_notified == (record.version, released):
             return []
-        self._told_at = (record.version, released)
-        mine = record.by_incarnation[self._me.incarnation]
-        heirs = {
-            heir.peer
+        self._release_notified = (record.version, released)
+        own_index = record.by_incarnation[self._me.incarnation]
+        successors = {
+            successor.peer
             for start, predecessors in record.shards.predecessors.items()
-            if mine in predecessors
-            and (heir := record.owner_of(record.shards.find(start))) is not None
+            if own_index in predecessors
+            and (successor := record.owner_of(record.shards.find(start))) is not None
         }
-        return [Send(peer, Released(self._cell, released)) for peer in sorted(heirs)]
+        return [Send(peer, Released(self._cell, released)) for peer in sorted(successors)]
 
     # -- witness ------------------------------------------------------------
 
-    def _on_renew(self, sender: PeerId, ask: Renew, now: float) -> list[Action]:
+    def _on_renew(self, sender: PeerId, request: Renew, now: float) -> list[Action]:
         record = self._ownership.record
         if record is None:
-            refused = RenewReply(self._cell, sender.incarnation, ask.nonce, False, 0)
+            refused = RenewReply(self._cell, sender.incarnation, request.nonce, False, 0)
             return [Send(sender.address, refused)]
-        reply = self._witness.on_renew(sender.incarnation, ask, record, self._table_version, now)
+        reply = self._witness.on_renew(
+            sender.incarnation, request, record, self._table_version, now
+        )
         actions: list[Action] = [Send(sender.address, reply)]
-        if ask.adopted < record.version:
+        if request.adopted < record.version:
             actions += self._push_record(sender.address)
         return actions
 
-    def _on_ask_release(self, sender: PeerId, ask: AskRelease, now: float) -> list[Action]:
+    def _on_ask_release(self, sender: PeerId, request: AskRelease, now: float) -> list[Action]:
         record = self._ownership.record
         if record is None:
             return [
                 Send(
                     sender.address,
-                    ReleaseReply(self._cell, ask.owner, ask.version, False, 0, 0),
+                    ReleaseReply(self._cell, request.owner, request.version, False, 0, 0),
                 )
             ]
-        return [Send(sender.address, self._witness.on_ask_release(ask, record, now))]
+        return [Send(sender.address, self._witness.on_ask_release(request, record, now))]
 
     def _push_record(self, address: str) -> list[Action]:
-        """Return the message that brings a peer up to this daemon's record, if it has one."""
+        """Return a push of this daemon's record to a peer, or nothing before the first record."""
         if not self._record_bytes:
             return []
         version = self._ownership.adopted
--- a/packages/coordination/src/pearward_coordination/assignment.py
+++ b/packages/coordination/src/pearward_coordination/assignment.py
@@ -1,7 +1,7 @@
-"""The next version of a cell's record, worked out from the present one and the cell's view.
+"""Computation of the next version of a cell's record from the current one and a view of the cell.
 
-Pure functions; moves are least: a shard moves only when its owner must give it up or
-holds more than its share while another holds less.
+Pure functions. Moves are kept to a minimum: a shard moves only if its owner must give it up, or
+if the members' shard counts differ from their shares by more than a threshold.
 """
 
 from array import array
@@ -18,14 +18,14 @@
 WITNESSES_FEW_DOMAINS = 3
 WITNESSES_MANY_DOMAINS = 5
 MANY_DOMAINS = 5
-"""Failure domains from which on an owner has five witnesses."""
+"""Number of failure domains from which an owner has five witnesses instead of three."""
 REBALANCE_SLACK = 1.25
-"""A member is relieved only when it holds more than its share by this factor."""
+"""Shards are rebalanced only if a member's count is off its share by this factor, up or down."""
 
 
 @dataclass(frozen=True, slots=True)
 class Joiner:
-    """A daemon that asks to be in the cell."""
+    """Daemon that requests to join the cell."""
 
     incarnation: str
     instance: str
@@ -37,31 +37,31 @@
 
 @dataclass(frozen=True, slots=True)
 class CellView:
-    """What the coordinator holds to be true when it plans."""
+    """State of the cell as the coordinator sees it when it plans."""
 
     table: ServiceTable
     joiners: tuple[Joiner, ...] = ()
     lost: frozenset[str] = frozenset()
-    """Incarnations whose shards are to be taken over, by their witnesses' releases."""
+    """Incarnations whose shards are to move after their witnesses have released them."""
     ended: frozenset[str] = frozenset()
-    """Incarnations that certainly can no longer act: nobody's release is needed."""
+    """Incarnations that certainly can no longer act: no release is needed for their shards."""
     draining: frozenset[str] = frozenset()
     settled: Mapping[str, int] = field(default_factory=dict)
-    """By incarnation: version whose given shards are all being served."""
+    """By incarnation: version whose shards assigned to the member are all being served."""
     released: Mapping[str, int] = field(default_factory=dict)
-    """By incarnation: version whose taken shards the member has given up."""
+    """By incarnation: version whose shards taken from the member are all released."""
 
 
 # -- witnesses ----------------------------------------------------------------
 
 
 def choose_witnesses(owner: Member, members: list[Member]) -> tuple[str, ...]:
-    """Return the incarnations that are to time *owner*'s lease.
+    """Return the incarnations that are witnesses of *owner*'s lease.
 
-    Other failure domains first, no domain twice while there is another. A cell of
-    three names the owner itself as one of three, so that one loss is still
-    survived; in a smaller one the owner stands alone and nobody can take over from
-    it without evidence that it ended.
+    Other failure domains are preferred, and none is used twice while an unused one is left. In a
+    cell with too few other members the owner is one of three witnesses, so that one loss is
+    tolerated. In a cell of one or two the owner is its only witness: its shards can move only on
+    evidence that it has ended.
     """
     others = [
         m
@@ -98,7 +98,7 @@
 
 
 class _Draft:
-    """A record being changed."""
+    """Draft of the next record version."""
 
     def __init__(self, record: CellRecord, view: CellView) -> None:
         self._record = record
@@ -107,7 +107,7 @@
         self._members = {m.incarnation: m for m in record.members}
         names = [m.incarnation for m in record.members]
         shards = record.shards
-        # Parallel lists by shard, as in the map: a cell has thousands of shards.
+        # Parallel lists indexed by shard, as in ShardMap: a cell has thousands of shards.
         self._starts = shards.starts
         self._owners = [names[i] if i != NO_OWNER else "" for i in shards.owners]
         self._epochs = shards.epochs[:]
@@ -120,9 +120,9 @@
     # membership
 
     def admit_joiners(self) -> None:
-        """Add daemons whose server the table names.
+        """Add joining daemons whose server is in the table.
 
-        One that replaces an ended daemon beside the same server takes its shards.
+        A joiner that replaces an ended daemon of the same server gets that daemon's shards.
         """
         for joiner in self._view.joiners:
             row = self._view.table.servers.get(joiner.server)
@@ -150,10 +150,10 @@
                 self._retire(member, joiner.incarnation)
 
     def readmit_retired(self) -> None:
-        """Take retired members that report back where nobody is left to own anything.
+        """Reactivate reporting retired members if no member can own shards.
 
-        Usually a retired member joins anew when no shard names it any more; with nobody
-        to take the shards over they would name it for ever.
+        Usually a retired member joins again once no shard refers to it. Without a member that
+        could take the shards over, they would refer to it permanently.
         """
         if self._shares():
             return
@@ -165,7 +165,7 @@
                 self._changed = True
 
     def retire_lost(self) -> None:
-        """Mark members that are lost or ended; their shards need new owners."""
+        """Retire members that are lost or have ended; their shards need new owners."""
         for member in list(self._members.values()):
             if member.state is MemberState.RETIRED:
                 continue
@@ -173,7 +173,7 @@
                 self._retire(member, "")
 
     def drain_members(self) -> None:
-        """Mark members that are to give up their work, and unmark those that are not."""
+        """Set the members that are to give up their shards to DRAINING, all others to ACTIVE."""
         for member in list(self._members.values()):
             if member.state is MemberState.RETIRED:
                 continue
@@ -189,8 +189,8 @@
                 self._members[member.incarnation] = replace(member, state=state)
                 self._changed = True
 
-    def forget_evidence(self) -> None:
-        """Drop predecessors that have certainly ended or whose successor serves."""
+    def drop_settled_predecessors(self) -> None:
+        """Drop predecessors that have certainly ended or whose successor serves the shard."""
         for index, earlier in list(self._predecessors.items()):
             owner = self._owners[index]
             if owner and self._view.settled.get(owner, 0) >= self._epochs[index]:
@@ -202,7 +202,7 @@
                 self._changed = True
 
     def drop_retired(self) -> None:
-        """Remove retired members that no shard refers to."""
+        """Remove retired members to which no shard refers."""
         referenced = set(self._owners)
         for earlier in self._predecessors.values():
             referenced.update(earlier)
@@ -211,19 +211,19 @@
                 del self._members[member.incarnation]
                 self._changed = True
 
-    def _retire(self, member: Member, heir: str) -> None:
-        """Retire *member*; its shards go to *heir*, or to nobody yet."""
+    def _retire(self, member: Member, successor: str) -> None:
+        """Retire *member*; assign its shards to *successor*, or to no owner if that is empty."""
         if member.state is not MemberState.RETIRED:
             self._members[member.incarnation] = replace(member, state=MemberState.RETIRED)
             self._changed = True
         for index, owner in enumerate(self._owners):
             if owner == member.incarnation:
-                self._move(index, heir)
+                self._move(index, successor)
 
     # shards
 
     def divide(self) -> None:
-        """Cut the key space of a keyed service that has no shards yet."""
+        """Divide the key space of a keyed service that has no shards yet."""
         service = self._view.table.service
         if service.kind is not Kind.KEYED or self._owners or not self._shares():
             return
@@ -234,7 +234,7 @@
         self._changed = True
 
     def balance(self) -> None:
-        """Give every shard an owner that may have one, moving the fewest."""
+        """Assign every shard to an eligible owner with the fewest moves."""
         shares = self._shares()
         if not shares or not self._owners:
             return
@@ -245,30 +245,30 @@
                 receiver = min(targets, key=lambda name: (held[name] - targets[name], name))
                 held[receiver] += 1
                 self._move(index, receiver)
-        self._relieve(held, targets)
+        self._move_excess(held, targets)
 
-    def _relieve(self, held: "Counter[str]", targets: dict[str, int]) -> None:
-        """Move shards from members far above their share to those below it."""
-        crowded = any(held[n] > targets[n] * REBALANCE_SLACK for n in targets)
-        starved = any(held[n] * REBALANCE_SLACK < targets[n] for n in targets)
-        if not crowded and not starved:
+    def _move_excess(self, held: "Counter[str]", targets: dict[str, int]) -> None:
+        """Move shards from members above to members below their share, if one is off too far."""
+        overloaded = any(held[n] > targets[n] * REBALANCE_SLACK for n in targets)
+        underloaded = any(held[n] * REBALANCE_SLACK < targets[n] for n in targets)
+        if not overloaded and not underloaded:
             return
-        wanting = {n: targets[n] - held[n] for n in targets if held[n] < targets[n]}
-        for index, giver in enumerate(self._owners):
-            if held[giver] <= targets[giver] or index in self._predecessors:
+        deficits = {n: targets[n] - held[n] for n in targets if held[n] < targets[n]}
+        for index, donor in enumerate(self._owners):
+            if held[donor] <= targets[donor] or index in self._predecessors:
                 continue
-            if not wanting:
+            if not deficits:
                 return
-            receiver = max(wanting, key=lambda name: (wanting[name], name))
-            held[giver] -= 1
+            receiver = max(deficits, key=lambda name: (deficits[name], name))
+            held[donor] -= 1
             held[receiver] += 1
-            wanting[receiver] -= 1
-            if not wanting[receiver]:
-                del wanting[receiver]
+            deficits[receiver] -= 1
+            if not deficits[receiver]:
+                del deficits[receiver]
             self._move(index, receiver)
 
     def _move(self, index: int, receiver: str) -> None:
-        """Give a shard to *receiver*; earlier owners that may still act stay named."""
+        """Assign a shard to *receiver*; keep earlier owners that may still act as predecessors."""
         owner = self._owners[index]
         earlier = (*self._predecessors.get(index, ()), *((owner,) if owner else ()))
         kept = [p for p in earlier if p not in self._view.ended and p != receiver]
@@ -284,7 +284,7 @@
             self._predecessors.pop(index, None)
 
     def _shares(self) -> dict[str, float]:
-        """Return the weight of each member that may own shards."""
+        """Return the weight of each member that is eligible to own shards."""
         shares: dict[str, float] = {}
         for member in self._members.values():
             row = self._view.table.servers.get(member.server)
@@ -295,9 +295,10 @@
     # witnesses
 
     def repair_witnesses(self) -> None:
-        """Replace witness sets that are short or name members that are gone.
+        """Replace witness sets that are too small or name members that were removed or retired.
 
-        Both sets count until the owner acts on that record and has given up what was taken.
+        A majority of each set is required until the owner acts on that record and has released
+        the shards that were taken from it.
         """
         members = [m for m in self._members.values() if m.state is not MemberState.RETIRED]
         present = {m.incarnation for m in members}
@@ -317,16 +318,17 @@
     def _is_change_safe(self, member: Member) -> bool:
         """Return whether a member may rely on its newer witness set alone.
 
-        An heir that acts on an older record asks the former set, of which nobody may have heard
-        of the newer one. It can claim only what that record took from the member; so the former
-        set counts until the member has given up all that was taken. Told by its adoption alone,
-        a member still ran a request on a shard that was released to an heir (five steps of the
-        ownership machine).
+        A successor that acts on an older record requests the release from the former set, and
+        possibly none of that set has received the newer record. The successor can claim only
+        shards that the older record took from the member. The former set is therefore required
+        until the member has released all shards taken from it. When it was dropped as soon as the
+        member had adopted the record, a member still ran a request on a shard that was already
+        released to a successor (found by the ownership state machine test in five steps).
         """
         return self._view.released.get(member.incarnation, 0) >= self._record.version
 
     def _is_weaker(self, member: Member, wanted: tuple[str, ...]) -> bool:
-        """Return whether *member*'s witnesses spread the risk less than *wanted* would."""
+        """Return whether *member*'s witnesses tolerate fewer losses than *wanted* would."""
         if len(member.witnesses) < len(wanted):
             return True
         if member.incarnation in member.witnesses and member.incarnation not in wanted:
@@ -334,13 +336,13 @@
         return len(self._domains(member.witnesses)) < len(self._domains(wanted))
 
     def _domains(self, incarnations: tuple[str, ...]) -> set[str]:
-        """Return the failure domains of some members."""
+        """Return the failure domains of *incarnations*."""
         return {self._members[name].failure_domain for name in incarnations}
 
     # result
 
     def finish(self, write_id: str) -> CellRecord | None:
-        """Return the new record, or None where nothing is to change."""
+        """Return the new record, or None if nothing has changed."""
         if not self._changed:
             return None
         members = tuple(self._members.values())
@@ -358,7 +360,7 @@
 
 
 def _integer_targets(shares: Mapping[str, float], count: int) -> dict[str, int]:
-    """Divide *count* shards in proportion to *shares*, by largest remainders."""
+    """Divide *count* shards in proportion to *shares* by the largest remainder method."""
     total = sum(shares.values())
     exact = {name: count * share / total for name, share in shares.items()}
     targets = {name: int(value) for name, value in exact.items()}
@@ -370,13 +372,13 @@
 
 
 def next_record(record: CellRecord, view: CellView, write_id: str) -> CellRecord | None:
-    """Return the record that should follow *record*, or None where it is as it should be."""
+    """Return the record that should follow *record*, or None if no change is needed."""
     draft = _Draft(record, view)
     draft.admit_joiners()
     draft.retire_lost()
     draft.readmit_retired()
     draft.drain_members()
-    draft.forget_evidence()
+    draft.drop_settled_predecessors()
     draft.divide()
     draft.balance()
     draft.drop_retired()
--- a/packages/coordination/src/pearward_coordination/attempt_plan.py
+++ b/packages/coordination/src/pearward_coordination/attempt_plan.py
@@ -1,4 +1,4 @@
-"""What becomes of a request after an attempt that brought no answer. No I/O and no clock."""
+"""Decision on the next step after an attempt without a response. No I/O and no clock."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -7,97 +7,97 @@
 
 __all__ = ["OWNER_WAIT_S", "AttemptPlan", "NextStep", "RequestTimes"]
 
-LATEST_RETRY_S = 0.05
-"""Time left in s under which no further attempt is made."""
+MIN_RETRY_TIME_S = 0.05
+"""Minimum time in s before the deadline for a further attempt."""
 OWNER_WAIT_S = 0.03
-"""Pause before the owner of a key is looked up again."""
+"""Delay in s before the owner of a key is looked up again."""
 OWNER_WAIT_SHARE = 0.6
-"""Part of the latency objective for which a key without an owner is waited for; a refusal
-after that leaves the caller time for another attempt."""
-FULL_TRIES = 3
-"""Targets that are asked for a slot before a request is refused as too much; all but the last
-of them for a place where nobody waits. Gain of asking for that first: with 75 targets and 195
-daemons at full load, 0.74 of the submits are in time in place of 0.68, and 0.90 of the calls in
-place of 0.84 (experiment tool, pattern many, three seeds)."""
-_ELSEWHERE = frozenset({Reason.DRAINING, Reason.MOVED, Reason.UNREACHABLE, Reason.OVERLOADED})
-"""Refusals that cost no target anything: another one may be asked without a budget. A key that is
-on its way is not among them: its owner has said when to come back."""
+"""Fraction of the latency objective for which a request waits for an owner of its key; a refusal
+after that leaves the caller time for a retry."""
+MAX_SLOT_REQUESTS = 3
+"""Maximum number of targets that are requested for a slot before a request is refused as overload.
+All but the last are requested for a free slot without queueing. With 75 targets and 195 daemons at
+full load, requesting a free slot first raised the share of submits in time from 0.68 to 0.74, and
+of calls from 0.84 to 0.90 (experiment tool, pattern many, three seeds)."""
+_REROUTABLE = frozenset({Reason.DRAINING, Reason.MOVED, Reason.UNREACHABLE, Reason.OVERLOADED})
+"""Refusals that put no load on a target, so that another one may be tried without a retry budget. A
+refusal of a key in transit is not among them: the owner has set the time of the caller's retry."""
 
 
 class NextStep(Enum):
-    """What to do next."""
+    """Next step after a failed attempt."""
 
     ELSEWHERE = "elsewhere"
-    """Ask another target, or the present owner of the key; no target has had the request."""
+    """Try another target, or the current owner of the key; no target has received the request."""
     REPEAT = "repeat"
-    """Send it once more, if the budget of repeats allows it."""
+    """Send the request again if the retry budget allows it."""
     GIVE_UP = "give up"
 
 
 @dataclass(frozen=True, slots=True)
 class RequestTimes:
-    """Times of one request in s of the steady clock."""
+    """Times of one request in s of the monotonic clock."""
 
     began: float
     objective: float
-    """By when an answer is worth most."""
+    """Time of the latency objective: a response up to then has its full value."""
     deadline: float
-    """By when the caller, or the route, wants the end of it."""
+    """Time by which the request must end, set by the caller or the route."""
 
     @property
     def owner_wait_ends(self) -> float:
-        """Until when an owner is waited for."""
+        """Time until which the request waits for an owner of its key."""
         wait = self.began + (self.objective - self.began) * OWNER_WAIT_SHARE
         return min(wait, self.deadline)
 
 
 @dataclass(slots=True)
 class AttemptPlan:
-    """The attempts of one request so far, and whether another one may follow."""
+    """State of one request's attempts, with the decision on the next one."""
 
     times: RequestTimes
     repeatable: bool
     keyed: bool
     max_attempts: int
-    """Targets that may receive the request, at most."""
+    """Maximum number of targets that may receive the request."""
     arrivals: int = 0
-    """Attempts of which a target has, or may have, received the request."""
+    """Number of attempts in which a target has, or may have, received the request."""
     tried: set[str] = field(default_factory=set)
-    full: int = 0
-    """Attempts at targets that had no slot for it."""
+    slot_refusals: int = 0
+    """Number of attempts that were refused because the target had no slot."""
     full_targets: set[str] = field(default_factory=set)
     sent_on: bool = False
-    """Whether its body is being passed on and cannot be sent again."""
+    """Whether the body is being forwarded unbuffered, so that it cannot be sent again."""
 
     def waits_for_owner(self, now: float) -> bool:
-        """Whether a target may yet be looked for, where none can be asked now."""
-        return not self.full and now + OWNER_WAIT_S <= self.times.owner_wait_ends
+        """Return whether the request may wait for a target if none is available now."""
+        return not self.slot_refusals and now + OWNER_WAIT_S <= self.times.owner_wait_ends
 
     @property
     def asks_last(self) -> bool:
-        """Whether the target that is asked now is the last that is asked for a slot."""
-        return self.full + 1 >= FULL_TRIES
+        """Whether the next target is the last that is requested for a slot."""
+        return self.slot_refusals + 1 >= MAX_SLOT_REQUESTS
 
     @property
     def excluded(self) -> frozenset[str]:
-        """Targets that are not asked now.
+        """Targets that are excluded from the next attempt.
 
-        The last one that is asked may be one that had no free slot: what it said of its queue
-        is newer than what is known of most others.
+        The last attempt may use a target that had no free slot, since the state of its queue is
+        known from its refusal and is newer than that of most other targets.
         """
         return frozenset(self.tried - self.full_targets if self.asks_last else self.tried)
 
     def arrived(self) -> bool:
-        """Note that a target has received the request; return whether it is the first."""
+        """Record that a target has received the request; return whether it is the first."""
         self.arrivals += 1
         return self.arrivals == 1
 
     def after_failure(self, outcome: Outcome, reason: Reason, target: str, now: float) -> NextStep:
-        """Decide after an attempt at *target* that ended without an answer."""
-        if self.sent_on or self.times.deadline - now < LATEST_RETRY_S:
+        """Return the next step after an attempt at *target* that ended without a response."""
+        if self.sent_on or self.times.deadline - now < MIN_RETRY_TIME_S:
             return NextStep.GIVE_UP
-        if outcome is Outcome.NOT_RUN and reason in _ELSEWHERE:
-            return self._elsewhere(reason, target, now)
+        if outcome is Outcome.NOT_RUN and reason in _REROUTABLE:
+            return self._reroute(reason, target, now)
         if outcome is not Outcome.NOT_RUN and not self.repeatable:
             return NextStep.GIVE_UP
         if outcome is Outcome.NOT_RUN and reason is not Reason.TARGET_REFUSED:
@@ -105,17 +105,17 @@
         return self.repeat(target, now)
 
     def repeat(self, target: str, now: float) -> NextStep:
-        """Decide whether one more target may receive the request after *target* has."""
+        """Return whether another target may receive the request (REPEAT) after *target* has."""
         self.tried.add(target)
-        if self.sent_on or self.times.deadline - now < LATEST_RETRY_S:
+        if self.sent_on or self.times.deadline - now < MIN_RETRY_TIME_S:
             return NextStep.GIVE_UP
         return NextStep.REPEAT if self.arrivals < self.max_attempts else NextStep.GIVE_UP
 
-    def _elsewhere(self, reason: Reason, target: str, now: float) -> NextStep:
+    def _reroute(self, reason: Reason, target: str, now: float) -> NextStep:
         if reason is Reason.OVERLOADED:
-            self.full += 1
+            self.slot_refusals += 1
             self.full_targets.add(target)
-            if self.keyed or self.full >= FULL_TRIES:
+            if self.keyed or self.slot_refusals >= MAX_SLOT_REQUESTS:
                 return NextStep.GIVE_UP
         if self.keyed:
             in_time = now + OWNER_WAIT_S < self.times.owner_wait_ends
--- a/packages/coordination/src/pearward_coordination/coordinator.py
+++ b/packages/coordination/src/pearward_coordination/coordinator.py
@@ -1,8 +1,8 @@
-"""The coordinator's role in a cell: what it has heard, and when that calls for a new record.
+"""Coordinator of a cell: collects heartbeats and evidence and plans new records.
 
-Any daemon can take the role and lose it. Two at once do no harm, since only one
-compare-and-swap of the record succeeds; and a coordinator that hears nothing decides
-nothing, since only witnesses' reports and evidence take shards away.
+Any daemon can acquire the role and lose it. Two coordinators at once are safe, since only one
+compare-and-swap of the record succeeds. A coordinator that receives nothing changes nothing, since
+shards are taken away only on witnesses' reports or on evidence.
 """
 
 from collections.abc import Iterable, Mapping
@@ -17,76 +17,76 @@
 
 __all__ = ["CellBelief", "Coordinator"]
 
-REPORT_AGE_BEATS = 4.0
-"""Heartbeat intervals after which a report no longer counts."""
-FORMATION_S = 1.5
-"""Time that a new cell waits for the servers of its table before the first assignment."""
+REPORT_MAX_AGE_HEARTBEATS = 4.0
+"""Number of heartbeat intervals after which a report is out of date."""
+FORMATION_WAIT_S = 1.5
+"""Maximum wait of a new cell for the servers of its table before the first assignment."""
 QUICK_CONFIRM_S = 0.05
-"""Time for which an owner must stay silent under the quick policy before its shards move."""
+"""Minimum time for which an owner must be silent under the quick policy before its shards move."""
 
-REVIEW_S = 0.1
-"""Between looks at what time alone may have changed, where no report has."""
-_NOTHING_PLANNED: tuple[int, CellView | None] = (-1, None)
+REVIEW_INTERVAL_S = 0.1
+"""Interval between plans if no report has changed: some decisions depend on time alone."""
+_NO_PLAN: tuple[int, CellView | None] = (-1, None)
 
 
 @dataclass(slots=True)
 class _Report:
-    """The last heartbeat of one daemon."""
+    """Last heartbeat of one daemon."""
 
     peer: PeerId
     heartbeat: Heartbeat
-    heard_at: float
+    received_at: float
 
 
 @dataclass(frozen=True, slots=True)
 class CellBelief:
-    """Which daemons a coordinator held to be there, lost or gone when it last planned."""
+    """Daemons that a coordinator regarded as present, lost or ended when it last planned."""
 
     reporting: tuple[str, ...] = ()
-    """Incarnations whose last heartbeat still counts."""
+    """Incarnations whose last heartbeat is not out of date."""
     missed: tuple[str, ...] = ()
-    """Members that a majority of their witnesses reports as silent, for however short a time."""
+    """Members that a majority of their witnesses reports as silent, for any length of time."""
     lost: tuple[str, ...] = ()
     ended: tuple[str, ...] = ()
     draining: tuple[str, ...] = ()
 
 
 class Coordinator:
-    """Collects heartbeats and evidence, and plans the next record."""
+    """Collects heartbeats and evidence and plans the next record."""
 
     def __init__(self, cell: str, timing: LeaseTiming, now: float) -> None:
         self._cell = cell
         self._timing = timing
-        self._began = now
+        self._started_at = now
         self._reports: dict[str, _Report] = {}
         self._lost_since: dict[str, float] = {}
         self._unhealthy_since: dict[str, float] = {}
         self._at_address: dict[str, str] = {}
         self._ended_seen: set[str] = set()
         self._replaced: set[str] = set()
-        """Of those that have ended, the ones of which only a successor's greeting tells."""
+        """Ended incarnations for which a successor's Hello message is the only evidence."""
         self._ended_since: dict[str, float] = {}
         self._listed_before: set[str] = set()
         self._dirty = True
         self._next_review = now
-        self._planned: tuple[int, CellView | None] = _NOTHING_PLANNED
-        """Record version and view that called for no change, so as not to plan them again."""
+        self._planned: tuple[int, CellView | None] = _NO_PLAN
+        """Record version and view that required no change, to avoid planning them again."""
         self._belief = CellBelief()
         self._newest_adopted = 0
 
     @property
     def newest_adopted(self) -> int:
-        """Highest version of the record that a member has said it acts on; 0 before the first."""
+        """Highest record version that a member has reported as adopted; 0 before any report."""
         return self._newest_adopted
 
     @property
     def belief(self) -> CellBelief:
-        """What the last plan was made from."""
+        """State of the cell's daemons on which the last plan was based."""
         return self._belief
 
     @property
     def reports(self) -> dict[str, Heartbeat]:
-        """The last heartbeat of each incarnation."""
+        """Last heartbeat of each incarnation."""
         return {name: report.heartbeat for name, report in self._reports.items()}
 
     # -- events -------------------------------------------------------------
@@ -94,7 +94,7 @@
     def on_heartbeat(
         self, sender: PeerId, heartbeat: Heartbeat, version: int, now: float
     ) -> HeartbeatReply:
-        """Take a member's report."""
+        """Store a member's heartbeat and return the reply."""
         known = self._reports.get(sender.incarnation)
         if known is None or known.heartbeat != replace(heartbeat, running=known.heartbeat.running):
             self._dirty = True
@@ -103,17 +103,17 @@
         return HeartbeatReply(self._cell, True, version)
 
     def peer_seen(self, peer: PeerId) -> None:
-        """Note who listens at an address, so that it may join."""
+        """Record the incarnation that listens at an address, which makes it eligible to join."""
         if self._at_address.get(peer.address) != peer.incarnation:
             self._at_address[peer.address] = peer.incarnation
             self._dirty = True
 
     def has_ended(self, incarnations: Iterable[str]) -> None:
-        """Take evidence that some incarnations can never act again.
+        """Record evidence that some incarnations can never act again.
 
-        Evidence is a greeting of another incarnation on a connection that was dialled
-        to their address *after* a record named them there. A greeting from before
-        proves nothing: it may be the older one of the two.
+        The evidence is a Hello of another incarnation on a connection that was opened to their
+        address *after* a record named them there. An earlier Hello proves nothing: it may come
+        from the older of the two incarnations.
         """
         for incarnation in incarnations:
             if incarnation not in self._ended_seen:
@@ -121,41 +121,41 @@
                 self._replaced.add(incarnation)
                 self._dirty = True
 
-    def _gone_for_good(self, incarnations: Iterable[str]) -> None:
-        """Take evidence that some incarnations have ended and have no successors."""
+    def _note_terminated(self, incarnations: Iterable[str]) -> None:
+        """Record that some incarnations have ended, without waiting for successors of them."""
         self.has_ended(incarnations)
         self._replaced.difference_update(incarnations)
 
     def instances_listed(self, instances: Iterable[Instance], record: CellRecord) -> None:
-        """Compare the platform's list with the record.
+        """Compare the platform's list of instances with the record.
 
-        The list lags but tells no untruth: an instance that was listed and no longer is
-        has ended; one that was never listed may only be new.
+        The list lags but is correct: an instance that is no longer listed has ended, while one
+        that was never listed may only be new.
         """
         names = {instance.name for instance in instances}
-        gone = {
+        removed = {
             m.incarnation
             for m in record.members
             if m.instance in self._listed_before and m.instance not in names
         }
         self._listed_before |= names
-        self._gone_for_good(gone)
+        self._note_terminated(removed)
 
     def force_release(self, incarnation: str) -> None:
-        """Take an operator's word that *incarnation* has ended."""
-        self._gone_for_good((incarnation,))
+        """Record an operator's statement that *incarnation* has ended."""
+        self._note_terminated((incarnation,))
 
     # -- decisions ----------------------------------------------------------
 
     def plan(
         self, record: CellRecord, table: ServiceTable, write_id: str, now: float
     ) -> CellRecord | None:
-        """Return the record to write, or None where nothing is to change."""
+        """Return the record to write, or None if no change is needed."""
         if not self._dirty and now < self._next_review and record.version == self._planned[0]:
             return None
         self._dirty = False
-        self._next_review = now + REVIEW_S
-        self._forget_old_reports(now)
+        self._next_review = now + REVIEW_INTERVAL_S
+        self._drop_old_reports(now)
         fresh = self._fresh_reports(now)
         if not record.members and not self._formed(table, fresh, now):
             return None
@@ -180,26 +180,26 @@
         if (record.version, view) == self._planned:
             return None
         planned = next_record(record, view, write_id)
-        self._planned = (record.version, view) if planned is None else _NOTHING_PLANNED
+        self._planned = (record.version, view) if planned is None else _NO_PLAN
         return planned
 
-    def _forget_old_reports(self, now: float) -> None:
-        """Drop reports far too old to matter, so that state stays bounded."""
+    def _drop_old_reports(self, now: float) -> None:
+        """Drop reports older than 60 s, so that memory use stays bounded."""
         horizon = now - 60.0
-        for name in [n for n, r in self._reports.items() if r.heard_at < horizon]:
+        for name in [n for n, r in self._reports.items() if r.received_at < horizon]:
             del self._reports[name]
 
     def _fresh_reports(self, now: float) -> dict[str, _Report]:
-        limit = now - REPORT_AGE_BEATS * self._timing.heartbeat_s
-        return {name: r for name, r in self._reports.items() if r.heard_at >= limit}
+        limit = now - REPORT_MAX_AGE_HEARTBEATS * self._timing.heartbeat_s
+        return {name: r for name, r in self._reports.items() if r.received_at >= limit}
 
     def _formed(self, table: ServiceTable, fresh: dict[str, _Report], now: float) -> bool:
-        """Return whether a new cell has waited long enough for its servers."""
+        """Return whether all servers of a new cell report or its wait for them has ended."""
         servers = {r.heartbeat.server for r in fresh.values()}
-        return servers >= set(table.servers) or now - self._began >= FORMATION_S
+        return servers >= set(table.servers) or now - self._started_at >= FORMATION_WAIT_S
 
     def _joiners(self, record: CellRecord, fresh: dict[str, _Report]) -> tuple[Joiner, ...]:
-        """Return the daemons that report, are healthy and have no part in the record."""
+        """Return the reporting, healthy daemons that are not active or draining members."""
         return tuple(
             Joiner(
                 name,
@@ -225,10 +225,11 @@
     def _ended(
         self, record: CellRecord, table: ServiceTable, joiners: tuple[Joiner, ...], now: float
     ) -> frozenset[str]:
-        """Return members that certainly can no longer act, and whose shards are to move.
+        """Return members that certainly can no longer act and whose shards are to move.
 
-        The shards of one that was replaced beside its server wait for the successor's
-        report, which comes in a moment, and for as long as a lost owner is waited for.
+        The shards of a member that was replaced by another incarnation at the same server stay
+        until that one reports, which usually takes a moment, or until ``wait_return_s`` has
+        passed, as for a lost owner.
         """
         reporting = {joiner.server for joiner in joiners}
         ended: set[str] = set()
@@ -254,12 +255,13 @@
         fresh: dict[str, _Report],
         now: float,
     ) -> frozenset[str]:
-        """Return members that a majority of their witnesses has missed for long enough.
+        """Return members that a majority of their witnesses has reported as silent for long enough.
 
-        A coordinator that hears only itself is cut off, or is all that is left: it cannot tell
-        which, and none of the witnesses that could release a lost member would hear it.
+        A coordinator that receives no heartbeat but its own is partitioned or is the only daemon
+        left. It cannot distinguish the two, and in either case it cannot reach the witnesses that
+        could release a lost member, so it returns none.
         """
-        if len(fresh) <= 1 and _others_named(record, fresh):
+        if len(fresh) <= 1 and _has_silent_members(record, fresh):
             self._lost_since.clear()
             return frozenset()
         wait = table.service.wait_return_s
@@ -288,7 +290,7 @@
     def _draining(
         self, table: ServiceTable, fresh: dict[str, _Report], now: float
     ) -> frozenset[str]:
-        """Return members that are leaving, or whose server has not answered for long enough."""
+        """Return members that are leaving or whose server has not responded for long enough."""
         leaving: set[str] = set()
         for name, report in fresh.items():
             if report.heartbeat.healthy:
@@ -302,8 +304,8 @@
         return frozenset(leaving)
 
 
-def _others_named(record: CellRecord, fresh: Mapping[str, object]) -> bool:
-    """Return whether a record names daemons that are to act and that do not report."""
+def _has_silent_members(record: CellRecord, fresh: Mapping[str, object]) -> bool:
+    """Return whether *record* has active or draining members that do not report."""
     return any(
         m.state is not MemberState.RETIRED and m.incarnation not in fresh for m in record.members
     )
--- a/packages/coordination/src/pearward_coordination/directory.py
+++ b/packages/coordination/src/pearward_coordination/directory.py
@@ -1,9 +1,10 @@
-"""Which targets there are, where their daemons are reached, and how they do.
+"""Directory of targets: the addresses, reachability and load of the daemons that serve them.
 
-Fed by the members' entries in the platform's store and by what daemons see of each
-other. An entry that went because a lease lapsed says nothing of a daemon that can still be
-reached, or while the store is away: such a member stays until it proves unreachable, or
-stays silent long after the store's return. No I/O and no clock.
+The sources are the members' entries in the platform's store and the observations of daemons about
+each other. An entry that is missing because its lease lapsed is no evidence against a daemon that
+can still be reached, nor while the store is unavailable. Such a member is kept until it proves
+unreachable, or until nothing was received from it for a long time while the store is available.
+No I/O and no clock.
 """
 
 from __future__ import annotations
@@ -21,64 +22,64 @@
 
 __all__ = ["Directory"]
 
-LAPSED_KEPT_S = 12.0
-"""Seconds for which a member whose entry went is still tried, though the store answers and
-nothing was heard of it: an entry that can be written again returns in two."""
-HEARD_S = 2.0
-"""Seconds after an answer or a report of a member in which it surely lives."""
+LAPSED_RETENTION_S = 12.0
+"""Seconds for which a member without an entry is kept while the store is available and nothing
+is received from the member: an entry that can be written again is back within 2 s."""
+ALIVE_S = 2.0
+"""Seconds after a response or report of a member for which it counts as alive."""
 NEVER = float("-inf")
 UNREACHABLE_S = 0.7
-"""Seconds for which a daemon that could not be reached gets no request while others can."""
+"""Seconds for which a daemon that was unreachable gets no requests if others are reachable."""
 
 
 @dataclass(slots=True, eq=False)
 class _Known:
-    """A member and what was seen of it."""
+    """Member with the observations about it."""
 
     member: Member
     lapsed_at: float | None = None
     unreachable_until: float = 0.0
-    refused: bool = False
-    """Its daemon said that the target takes no new work, sooner than its entry did."""
-    heard_at: float = NEVER
-    """When its daemon last answered or reported."""
+    refuses_work: bool = False
+    """Its daemon has reported that the target takes no new work, before its entry shows this."""
+    last_received: float = NEVER
+    """Time of its daemon's last response or report."""
     view: LoadView = field(default_factory=LoadView)
 
 
 @dataclass(slots=True)
 class _Group:
-    """The targets of one service that may get work, in the own failure domain and elsewhere."""
+    """Targets of a service that may get work: in this failure domain (near) and others (far)."""
 
     near: list[_Known] = field(default_factory=list)
     far: list[_Known] = field(default_factory=list)
 
 
 class Directory:
-    """The members that this daemon knows."""
+    """Members that are known to this daemon, by instance and by target."""
 
     def __init__(self, failure_domain: str, instance: str = "", *, few_looks: bool = True) -> None:
         self._failure_domain = failure_domain
         self._instance = instance
         self._few_looks = few_looks
         self._groups: dict[str, _Group] = {}
-        """Members by service; put together anew when one was added, changed or forgotten, or when a
-        failure domain is drained."""
+        """Cache by service; cleared when a member is added, changed or removed, or when the drained
+        failure domains change."""
         self._services: dict[str, MeanService] = {}
         self._registered: tuple[Member, ...] | None = None
-        """Members that have an entry; put together anew after each change."""
+        """Cached members that have an entry; None after a change."""
         self._lapsed: set[str] = set()
-        """Instances whose entries are missing."""
+        """Instances of known members whose entries are missing."""
         self._revision = 0
         self._by_instance: dict[str, _Known] = {}
         self._by_target: dict[str, _Known] = {}
         self._store_since: float | None = None
         self._drained: Mapping[str, float] = {}
-        """Failure domains whose targets get no new work, and since when."""
+        """Failure domains whose targets get no new work, with the time of the drain's start."""
 
-    # -- what becomes known -----------------------------------------------------
+    # -- updates ----------------------------------------------------------------
 
     def entries_read(self, members: Iterable[Member], now: float) -> None:
-        """Take all entries at once, as after a start or a gap in the changes."""
+        """Replace all entries, as after a start or a gap in the watch events."""
         present = {member.instance: member for member in members}
         for instance in list(self._by_instance):
             if instance not in present:
@@ -87,15 +88,15 @@
             self.entry_written(member)
 
     def entry_written(self, member: Member) -> None:
-        """Take a new or changed entry."""
-        self._changed()
+        """Apply a new or changed entry."""
+        self._invalidate()
         self._lapsed.discard(member.instance)
         known = self._by_instance.get(member.instance)
         if known is not None and known.member.target == member.target:
             same_process = known.member.incarnation == member.incarnation
             known.member = member
             known.lapsed_at = None
-            known.refused = known.refused and same_process
+            known.refuses_work = known.refuses_work and same_process
             if not same_process:
                 known.unreachable_until = 0.0
         else:
@@ -106,70 +107,72 @@
             self._by_target[member.target] = known
 
     def entry_gone(self, instance: str, now: float) -> None:
-        """An entry lapsed or was taken away."""
+        """Record that an entry lapsed or was deleted."""
         known = self._by_instance.get(instance)
         if known is not None and known.lapsed_at is None:
-            self._changed()
+            self._invalidate()
             self._lapsed.add(instance)
             known.lapsed_at = now
 
     def store_answers(self, since: float | None) -> None:
-        """Say since when the store has answered this daemon; None while it does not.
+        """Set the time since which the store has been available, or None while it is not.
 
-        While it is away no entry can return, so a missing one says nothing.
+        Entries cannot be written again while the store is unavailable, so a missing one is no
+        evidence then.
         """
         self._store_since = since
 
     def set_drained(self, domains: Mapping[str, float]) -> None:
-        """Take the failure domains that operators drain, and since when each is drained."""
-        self._changed()
+        """Set the drained failure domains, each with the time of the drain's start."""
+        self._invalidate()
         self._drained = dict(domains)
 
     def heard(self, target: str, now: float) -> None:
-        """The daemon beside a target answered or reported: it lives, entry or not."""
+        """Record a response or report of a target's daemon, which proves that it is alive."""
         known = self._by_target.get(target)
         if known is not None:
-            known.heard_at = now
+            known.last_received = now
 
     def unreachable(self, target: str, now: float) -> None:
-        """The daemon beside a target could not be reached."""
+        """Record that a target's daemon was unreachable; remove the member if it is missing."""
         known = self._by_target.get(target)
         if known is None:
             return
         known.unreachable_until = now + UNREACHABLE_S
-        if self._gone_for(known, now) >= 0.0:
+        if self._missing_s(known, now) >= 0.0:
             self._forget(known)
 
     def refused(self, target: str) -> None:
-        """The daemon beside a target said that it takes no new work."""
+        """Record that a target's daemon has refused new work."""
         known = self._by_target.get(target)
         if known is not None:
-            known.refused = True
+            known.refuses_work = True
 
     def expire(self, now: float) -> None:
-        """Forget members whose entries have been gone for long."""
+        """Remove members whose entries have been missing for the retention time."""
         for instance in tuple(self._lapsed):
             known = self._by_instance.get(instance)
-            if known is not None and self._gone_for(known, now) > LAPSED_KEPT_S:
+            if known is not None and self._missing_s(known, now) > LAPSED_RETENTION_S:
                 self._forget(known)
 
-    def _gone_for(self, known: _Known, now: float) -> float:
+    def _missing_s(self, known: _Known, now: float) -> float:
         """Return the seconds for which a member has been missing without a known reason.
 
-        Negative where its entry is there, the store is away or the daemon was just heard.
+        The result is negative if the member has an entry, the store is unavailable or something
+        was received from the daemon within the last ``ALIVE_S``.
         """
         if known.lapsed_at is None or self._store_since is None:
             return NEVER
-        return now - max(known.lapsed_at, self._store_since, known.heard_at + HEARD_S)
+        return now - max(known.lapsed_at, self._store_since, known.last_received + ALIVE_S)
 
-    def _changed(self) -> None:
-        """A member was added, has changed or is forgotten."""
+    def _invalidate(self) -> None:
+        """Increment the revision and clear the caches after a change of the members."""
         self._revision += 1
         self._groups.clear()
         self._registered = None
 
     def _forget(self, known: _Known) -> None:
-        self._changed()
+        self._invalidate()
         member = known.member
         self._lapsed.discard(member.instance)
         if self._by_instance.get(member.instance) is known:
@@ -177,21 +180,21 @@
         if self._by_target.get(member.target) is known:
             del self._by_target[member.target]
 
-    # -- questions ------------------------------------------------------------------
+    # -- queries --------------------------------------------------------------------
 
     @property
     def members(self) -> list[Member]:
-        """All members, those included whose entries lapsed a short while ago."""
+        """All members, including those whose entries lapsed a short time ago."""
         return [known.member for known in self._by_instance.values()]
 
     @property
     def revision(self) -> int:
-        """Rises with each change of the members."""
+        """Counter that is incremented with each change of the members."""
         return self._revision
 
     @property
     def registered(self) -> tuple[Member, ...]:
-        """Members that have an entry now."""
+        """Members that currently have an entry."""
         if self._registered is None:
             self._registered = tuple(
                 k.member for k in self._by_instance.values() if k.lapsed_at is None
@@ -199,26 +202,26 @@
         return self._registered
 
     def member_of(self, target: str) -> Member | None:
-        """Return the member beside which a target runs."""
+        """Return the member whose local target is *target*, or None."""
         known = self._by_target.get(target)
         return known.member if known is not None else None
 
     def instance(self, name: str) -> Member | None:
-        """Return the member on an instance."""
+        """Return the member on an instance, or None."""
         known = self._by_instance.get(name)
         return known.member if known is not None else None
 
     def is_registered(self, target: str) -> bool:
-        """Return whether a target's entry is there now."""
+        """Return whether a target currently has an entry."""
         known = self._by_target.get(target)
         return known is not None and known.lapsed_at is None
 
     def is_drained(self, failure_domain: str) -> bool:
-        """Return whether operators drain a failure domain."""
+        """Return whether a failure domain is drained."""
         return failure_domain in self._drained
 
     def drained_since(self, target: str) -> float | None:
-        """Return since when a target's failure domain is drained, or None where it is not."""
+        """Return when the drain of a target's failure domain started, or None if not drained."""
         known = self._by_target.get(target)
         return self._drained.get(known.member.failure_domain) if known is not None else None
 
@@ -234,31 +237,31 @@
         return bool(domains) and domains <= self._drained.keys()
 
     def lapsed_since(self, target: str) -> float | None:
-        """Return when a target's entry went, or None while it is there or unknown."""
+        """Return when a target's entry lapsed, or None if it has one or is unknown."""
         known = self._by_target.get(target)
         return known.lapsed_at if known is not None else None
 
     def reachable(self, target: str, now: float) -> bool:
-        """Return whether the daemon beside a target has not just failed to answer."""
+        """Return whether a target is known and its daemon was not unreachable a moment ago."""
         known = self._by_target.get(target)
         return known is not None and known.unreachable_until <= now
 
     def view(self, target: str) -> LoadView | None:
-        """Return the load of a target as this daemon sees it."""
+        """Return this daemon's view of a target's load, or None if the target is unknown."""
         known = self._by_target.get(target)
         return known.view if known is not None else None
 
     def loaded(self, target: str, load: TargetLoad, now: float) -> None:
-        """Take the load of a target that came with an answer of its daemon."""
+        """Record the load of a target from its daemon's response."""
         known = self._by_target.get(target)
         if known is None:
             return
-        known.heard_at = now
+        known.last_received = now
         known.view.reported(load, now)
         self._services.setdefault(known.member.service, MeanService()).reported(load)
 
     def usual_s(self, service: str) -> float:
-        """Return how long requests of a service usually run, in seconds."""
+        """Return the mean running time of a service's requests in seconds."""
         return self._services.setdefault(service, MeanService()).seconds
 
     def candidates(
@@ -270,16 +273,17 @@
         rng: Random,
         asked: frozenset[str] = frozenset(),
     ) -> list[Candidate]:
-        """Return a few targets of a service that may get a request, drawn at random.
+        """Return a random sample of a service's targets that may get a request.
 
-        Unreachable, draining or already tried ones are left out while others are there. Those
-        of *asked*, whose daemons have just told their load, are among them.
+        Targets that are unreachable, draining or already tried are excluded. Unreachable ones are
+        returned only if no others are found. Usable targets of *asked*, whose daemons have just
+        reported their load, are always included.
         """
         group = self._group(service)
 
         def usable(known: _Known) -> bool:
             drained = self.is_drained(known.member.failure_domain)
-            return not drained and known.unreachable_until <= now and _takes(known, tried)
+            return not drained and known.unreachable_until <= now and _accepts(known, tried)
 
         near_looks = NEAR_LOOKS if self._few_looks else len(group.near)
         far_looks = FAR_LOOKS if self._few_looks else len(group.far)
@@ -289,13 +293,13 @@
             if known is not None and known not in found and usable(known):
                 found.append(known)
         if not found:
-            found = [known for known in group.near + group.far if _takes(known, tried)]
+            found = [known for known in group.near + group.far if _accepts(known, tried)]
         return [self._candidate(known, unix_now) for known in found]
 
     def has_candidate(self, service: str, tried: frozenset[str]) -> bool:
-        """Return whether a service has a target that takes requests and was not tried."""
+        """Return whether a service has a target that accepts requests and is not in *tried*."""
         group = self._group(service)
-        return any(_takes(known, tried) for known in group.near + group.far)
+        return any(_accepts(known, tried) for known in group.near + group.far)
 
     def _group(self, service: str) -> _Group:
         group = self._groups.get(service)
@@ -320,9 +324,9 @@
         )
 
 
-def _takes(known: _Known, tried: frozenset[str]) -> bool:
-    """Whether a target takes new requests, as far as is known, and was not tried."""
+def _accepts(known: _Known, tried: frozenset[str]) -> bool:
+    """Return whether a target is not known to refuse requests and is not in *tried*."""
     member = known.member
-    if known.refused or member.state is TargetState.DRAINING:
+    if known.refuses_work or member.state is TargetState.DRAINING:
         return False
     return member.target not in tried
--- a/packages/coordination/src/pearward_coordination/errors.py
+++ b/packages/coordination/src/pearward_coordination/errors.py
@@ -6,8 +6,8 @@
 
 
 class CoordinationError(PearwardError):
-    """Root of the coordination layer's errors."""
+    """Base class of the coordination layer's errors."""
 
 
 class InvalidAssignment(CoordinationError):
-    """A record breaks a rule that every version must keep."""
+    """Raised for a record that violates an invariant of all versions."""
--- a/packages/coordination/src/pearward_coordination/lease.py
+++ b/packages/coordination/src/pearward_coordination/lease.py
@@ -1,7 +1,8 @@
-"""An owner's lease, timed by a majority of its witnesses.
+"""Lease of a shard owner, renewed by a majority of its witnesses.
 
-The lease counts from the moment *before* a renewal was sent, shortened by the drift
-margin, while a witness counts its grant from receipt. So the owner always stops first.
+The owner counts its lease from the moment *before* it sent a renewal, shortened by the clock drift
+margin; a witness counts its grant from receipt. The lease therefore always expires before the
+witness's grant does.
 """
 
 from collections.abc import Collection
@@ -19,7 +20,7 @@
     lease_s: float = 1.0
     renew_s: float = 0.25
     drift: float = 0.02
-    """Relative difference in speed between two clocks that is tolerated."""
+    """Tolerated relative difference in rate between two clocks."""
     silence_s: float = 0.55
     """Time without a renewal after which a witness reports an owner as silent."""
     heartbeat_s: float = 0.25
@@ -27,7 +28,7 @@
 
     @property
     def held_s(self) -> float:
-        """Seconds that an owner counts on from the sending of a renewal."""
+        """Seconds for which a granted lease is valid after its renewal was sent."""
         return self.lease_s * (1.0 - 2.0 * self.drift)
 
 
@@ -37,7 +38,7 @@
 
 
 class OwnerLease:
-    """The owner's side: which witness has renewed until when."""
+    """Owner's state of its lease: the expiry that each witness has granted."""
 
     def __init__(self, timing: LeaseTiming) -> None:
         self._timing = timing
@@ -50,12 +51,12 @@
 
     @property
     def valid_until(self) -> float:
-        """Time at which the lease runs out as things stand."""
+        """Time at which the lease expires unless it is renewed."""
         return self._valid_until
 
     @property
     def term(self) -> int:
-        """Number of times that the lease began anew; work is tied to one term."""
+        """Number of times that the lease started after a gap; a permit is valid in one term."""
         return self._term
 
     def held(self, now: float) -> bool:
@@ -71,7 +72,7 @@
         self._recompute(now)
 
     def renewal_sent(self, witness: str, now: float) -> int:
-        """Note that a renewal is about to be sent and return its nonce."""
+        """Record that a renewal is about to be sent and return its nonce."""
         self._nonce += 1
         sent = self._sent.setdefault(witness, {})
         sent[self._nonce] = now
@@ -81,7 +82,7 @@
         return self._nonce
 
     def renewal_granted(self, witness: str, nonce: int, now: float) -> None:
-        """Note a witness's grant; one that answers nothing outstanding is ignored."""
+        """Record a witness's grant; ignore one that matches no outstanding renewal."""
         sent_at = self._sent.get(witness, {}).pop(nonce, None)
         if sent_at is None:
             return
@@ -91,7 +92,7 @@
             self._recompute(now)
 
     def _recompute(self, now: float) -> None:
-        """Derive the lease's end from the witnesses; a gap starts a new term."""
+        """Compute the lease's expiry from the witnesses' grants; start a new term after a gap."""
         if not self._sets:
             valid_until = NEVER
         else:
@@ -101,6 +102,6 @@
         self._valid_until = valid_until
 
     def _majority_until(self, names: frozenset[str]) -> float:
-        """Return until when a majority of *names* has renewed."""
+        """Return the time until which a majority of *names* has granted the lease."""
         ends = sorted((self._until.get(name, NEVER) for name in names), reverse=True)
         return ends[majority(len(ends)) - 1]
--- a/packages/coordination/src/pearward_coordination/messages.py
+++ b/packages/coordination/src/pearward_coordination/messages.py
@@ -1,4 +1,4 @@
-"""What daemons tell each other about ownership and versions."""
+"""Messages between daemons about ownership and versions."""
 
 from dataclasses import dataclass
 
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerId:
-    """A running daemon: its incarnation and the address where peers reach it."""
+    """Running daemon: its incarnation and the address at which peers connect to it."""
 
     incarnation: str
     address: str
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class VersionedKey:
-    """A key of the platform's service (``table/...`` or ``cell/...``) and a version of it."""
+    """Key of the platform's service (``table/...`` or ``cell/...``) and a version of it."""
 
     key: str
     version: int
@@ -49,35 +49,35 @@
 
 @dataclass(frozen=True, slots=True)
 class Renew:
-    """An owner asks a witness to renew its lease."""
+    """Owner's request to a witness to renew its lease."""
 
     cell: str
     nonce: int
     adopted: int
-    """Version of the cell record that the sender acts on."""
+    """Version of the cell record in force at the sender."""
     released: int
-    """Highest version whose taken shards the sender has given up entirely."""
+    """Highest version whose taken shards the sender has released completely."""
     table_version: int
     owner: str = ""
-    """Target whose lease is renewed, where a witness tells targets and not daemons apart."""
+    """Target whose lease is renewed, if the witness tracks leases by target and not by daemon."""
 
 
 @dataclass(frozen=True, slots=True)
 class RenewReply:
-    """A witness's answer to Renew."""
+    """Witness's reply to Renew."""
 
     cell: str
     owner: str
-    """The incarnation that was granted: a new daemon at its address must not count it."""
+    """Incarnation that requested the renewal: another one at its address must ignore the reply."""
     nonce: int
     granted: bool
     version: int
-    """The witness's own record version; a higher one than the asker's comes with a Push."""
+    """Record version of the witness; if higher than the sender's, a Push follows the reply."""
 
 
 @dataclass(frozen=True, slots=True)
 class AskRelease:
-    """A new owner asks a witness of an earlier owner whether that one has ended."""
+    """New owner's query to a witness of an earlier owner whether that one can still act."""
 
     cell: str
     owner: str
@@ -86,22 +86,22 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleaseReply:
-    """A witness's answer to AskRelease."""
+    """Witness's reply to AskRelease."""
 
     cell: str
     owner: str
     version: int
-    """The version asked for."""
+    """Version of the request."""
     released: bool
     known: int
-    """The witness's own record version."""
+    """Record version of the witness."""
     remaining_ms: int
-    """Milliseconds until the last grant runs out, where it is not released."""
+    """Milliseconds until the last grant expires, if not released."""
 
 
 @dataclass(frozen=True, slots=True)
 class Released:
-    """An owner tells a successor that it has given up what *version* took from it."""
+    """Owner's notification to a successor that it has released the shards *version* took."""
 
     cell: str
     version: int
@@ -109,7 +109,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """A member reports to the coordinator of its cell."""
+    """Member's report to the coordinator of its cell."""
 
     cell: str
     instance: str
@@ -118,21 +118,21 @@
     caller: str
     adopted: int
     settled: int
-    """Highest version whose shards given to the sender are all being served."""
+    """Highest version whose shards assigned to the sender are all being served."""
     released: int
     table_version: int
     draining: bool
     healthy: bool
-    """Whether the server beside the sender answers."""
+    """Whether the sender's local server responds."""
     running: int
-    """Requests that run at the server now."""
+    """Number of requests that run at the server now."""
     silent: tuple[str, ...]
-    """Incarnations that the sender is a witness of and has not heard from."""
+    """Incarnations for which the sender is a witness and that have sent it no renewal lately."""
 
 
 @dataclass(frozen=True, slots=True)
 class HeartbeatReply:
-    """The coordinator's answer; its absence is how a lost coordinator is noticed."""
+    """Coordinator's reply to a heartbeat; without it a member detects a lost coordinator."""
 
     cell: str
     coordinating: bool
@@ -141,18 +141,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Digest:
-    """What the sender holds; the receiver answers with what is newer, and asks for the rest."""
+    """Versions that the sender holds; a peer whose versions differ replies with the differences."""
 
     fingerprint: int
     """Hash over the entries."""
     full: bool = False
-    """Whether the entries are listed; while fingerprints are being compared they are not."""
+    """Whether the entries are listed; a digest that only compares fingerprints has none."""
     entries: tuple[VersionedKey, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class Announce:
-    """Tells of a newer version; who is behind pulls it, so that the value travels once."""
+    """Notification of a version; only peers that have an older one pull the value."""
 
     key: str
     version: int
@@ -160,16 +160,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Pull:
-    """Asks for the values of some keys."""
+    """Request for the values of some keys."""
 
     keys: tuple[str, ...]
     held: int = 0
-    """Version that the asker holds, where one key is asked for: a change may do then."""
+    """Version that the sender holds, if *keys* is one key: the reply may be a PushChange then."""
 
 
 @dataclass(frozen=True, slots=True)
 class Push:
-    """A versioned value, byte for byte as the platform's service holds it."""
+    """Versioned value, byte for byte as the platform's service stores it."""
 
     key: str
     version: int
@@ -178,7 +178,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PushChange:
-    """What turns one version of a value into the next; of no use to who lacks the former."""
+    """Difference between version *base* of a value and *version*; usable only with *base*."""
 
     key: str
     base: int
@@ -188,40 +188,40 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyReport:
-    """The daemon beside a target of a keyed service tells the planner what it sees."""
+    """Report of a target of a keyed service, sent by its daemon to the planner."""
 
     service: str
     target: str
-    """Id of the target's incarnation; empty while there is none."""
+    """Id of the target's incarnation; empty if no target runs."""
     version: int
-    """Version of the key map that is acted on."""
+    """Version of the key map in force."""
     capacity: float
-    """Requests a second that the target can run."""
+    """Requests per second that the target can run."""
     draining: bool
     ended: tuple[str, ...]
-    """Targets, once beside this daemon, that surely hold nothing any more."""
+    """Former local targets that certainly hold no keys any more."""
     confirmed: tuple[HeldRow, ...]
     counts: tuple[KeyCount, ...]
-    """Requests by key since the last report."""
+    """Number of requests by key since the last report."""
 
 
 @dataclass(frozen=True, slots=True)
 class AskKeys:
-    """A new owner's daemon asks a predecessor's whether keys were let go."""
+    """Query of a new owner's daemon to a predecessor's whether keys were released."""
 
     service: str
     target: str
-    """The predecessor."""
+    """The predecessor's target."""
     fence: int
     first: int
     last: int
     version: int
-    """Version of the key map that the sender acts on."""
+    """Version of the key map in force at the sender."""
 
 
 @dataclass(frozen=True, slots=True)
 class KeysLetGo:
-    """Confirms that a predecessor holds keys no longer."""
+    """Reply to AskKeys: confirmation that a predecessor has released keys."""
 
     service: str
     target: str
@@ -231,42 +231,43 @@
 
 @dataclass(frozen=True, slots=True)
 class AskChanges:
-    """Asks a watcher what has changed in the members' entries."""
+    """Query to a watcher for changes of the members' entries."""
 
     nonce: int
     after: int
-    """Revision of the store up to which the asker knows all."""
+    """Revision of the store up to which the sender has all changes."""
 
 
 @dataclass(frozen=True, slots=True)
 class TellChanges:
-    """A watcher's answer: with the next news, or after a while without any."""
+    """Watcher's reply, sent with the next change or after an interval without changes."""
 
     nonce: int
     follows: bool
-    """Whether the sender follows the store at present; if not, it tells nothing."""
+    """Whether the sender currently watches the store; if not, the reply has no changes."""
     known: bool
-    """Whether it knows all changes after the revision asked for; if not, it tells none."""
+    """Whether it has all changes after the requested revision; if not, the reply has none."""
     revision: int
-    """Revision of the store up to which all is told."""
+    """Revision of the store up to which the reply is complete."""
     changes: tuple[EntryChange, ...]
     drains_revision: int = 0
-    """Revision of the store up to which the sender knows the drains of failure domains."""
+    """Revision of the store at which the sender last read the drains of failure domains."""
     drained: tuple[str, ...] = ()
     """Failure domains that are drained as of that revision."""
 
 
 @dataclass(frozen=True, slots=True)
 class TargetCrashed:
-    """Tells the daemons beside a service's targets what one of these was running as it crashed.
+    """Notification to the daemons of a service's targets of what one target ran when it crashed.
 
-    The store tells everybody; this comes sooner, and also while the store is away.
+    The store distributes the crash to all daemons; this message arrives sooner, and also while the
+    store is unavailable.
     """
 
     target: str
     """Id of the target's incarnation."""
     contents: tuple[str, ...]
-    """Digests of what the requests asked for."""
+    """Digests of the contents of the requests."""
 
 
 ControlMessage = (
--- a/packages/coordination/src/pearward_coordination/release_record.py
+++ b/packages/coordination/src/pearward_coordination/release_record.py
@@ -1,4 +1,4 @@
-"""The record that no longer waits for an owner that has given its shards up. No I/O."""
+"""Removal of predecessors that have released their shards from a cell record. No I/O."""
 
 from dataclasses import replace
 
@@ -8,17 +8,18 @@
 
 
 def awaited_release(record: CellRecord, incarnation: str) -> int:
-    """Return the version that an earlier owner's release is awaited for; 0 for none."""
+    """Return the version for which an earlier owner's release is outstanding; 0 for none."""
     return record.taken_from.get(incarnation, 0)
 
 
 def without_release_of(
     record: CellRecord, incarnation: str, released: int, write_id: str
 ) -> CellRecord | None:
-    """Return the record to follow once *incarnation* has given up what *released* took.
+    """Return the next record after *incarnation* has released the shards that *released* took.
 
-    It is the owner's own word, as peers get it by a message: no request of its runs on those
-    shards, and its server knows. None where the record waits for nothing of that.
+    This is the owner's own report, equivalent to the Released message to peers: none of its
+    requests runs on those shards, and its server has been notified. Return None if the record does
+    not wait for this release.
     """
     index = record.by_incarnation.get(incarnation)
     shards = record.shards
--- a/packages/coordination/src/pearward_coordination/retry.py
+++ b/packages/coordination/src/pearward_coordination/retry.py
@@ -1,4 +1,4 @@
-"""Whether a failed attempt may be made again: outcome, repeatability, deadline and budget."""
+"""Retry decisions by outcome, repeatability, deadline and retry budget."""
 
 from __future__ import annotations
 
@@ -13,17 +13,19 @@
 __all__ = ["Attempt", "AttemptTally", "RetryBudget", "RetryDecision", "decide_retry"]
 
 MAX_ATTEMPTS = 64
-"""Attempts of one request at most; the deadline usually ends it first."""
-MAX_MOVES = 8
-"""Redirections by newer records at most, so that two confused daemons cannot loop."""
+"""Maximum number of attempts of one request; usually the deadline ends it first."""
+MAX_REDIRECTS = 8
+"""Maximum number of immediate redirects, so that daemons with different records cannot loop."""
 FIRST_BACKOFF_S = 0.02
 MAX_BACKOFF_S = 0.25
 BUDGET_CAP = 20.0
-"""Retries that may be saved up for a burst."""
+"""Maximum number of retries that may accumulate for a burst."""
 
-_WAITING = frozenset({Reason.NO_ROUTE, Reason.NOT_READY, Reason.UNREACHABLE, Reason.DRAINING})
-"""Reasons that end when a shard has its new owner; waiting costs no server anything."""
-_FINAL = frozenset(
+_BACKOFF_REASONS = frozenset(
+    {Reason.NO_ROUTE, Reason.NOT_READY, Reason.UNREACHABLE, Reason.DRAINING}
+)
+"""Reasons that no longer apply once a shard has its new owner; waiting loads no server."""
+_FINAL_REASONS = frozenset(
     {
         Reason.BAD_REQUEST,
         Reason.UNKNOWN_SERVICE,
@@ -38,7 +40,7 @@
 
 
 class RetryBudget:
-    """Allows retries in proportion to first attempts, so that they never amplify an overload."""
+    """Token bucket of retries, filled by first attempts so that retries amplify no overload."""
 
     def __init__(self, ratio: float) -> None:
         self._ratio = ratio
@@ -46,19 +48,19 @@
 
     @property
     def tokens(self) -> float:
-        """Retries that are allowed now."""
+        """Number of retries that are currently allowed."""
         return self._tokens
 
     def set_ratio(self, ratio: float) -> None:
-        """Allow *ratio* retries for each first attempt from now on."""
+        """Set the number of retries that each first attempt adds."""
         self._ratio = ratio
 
     def first_attempt(self) -> None:
-        """Count a request."""
+        """Add the retries that a first attempt earns."""
         self._tokens = min(BUDGET_CAP, self._tokens + self._ratio)
 
     def take(self) -> bool:
-        """Spend one retry; return False if none is left."""
+        """Take one retry from the budget; return False if none is left."""
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
@@ -67,95 +69,95 @@
 
 @dataclass(frozen=True, slots=True)
 class Attempt:
-    """How one attempt of a request ended."""
+    """Result of one attempt of a request."""
 
     outcome: Outcome
     reason: Reason
     number: int
-    """Attempts made so far, this one included."""
+    """Number of attempts so far, including this one."""
     moves: int
-    """Of these, redirections by a newer record."""
+    """Number of these attempts that ended in a redirect by a newer record."""
     repeatable: bool
     replayable: bool
-    """Whether the whole body is still at hand."""
+    """Whether the whole body is still available to be sent again."""
     keyed: bool
     alternatives: bool
-    """Whether the service has another server to try."""
+    """Whether the service has another server for a retry."""
 
 
 @dataclass(frozen=True, slots=True)
 class RetryDecision:
-    """Whether to try again, and after how many seconds."""
+    """Whether to retry, and after how many seconds."""
 
     again: bool
     delay_s: float = 0.0
 
 
 class AttemptTally:
-    """What a request's attempts have come to so far."""
+    """Counts and combined outcome of a request's attempts."""
 
     def __init__(self) -> None:
         self._number = 0
-        self._moves = 0
+        self._redirects = 0
         self._may_have_run = False
 
     @property
     def number(self) -> int:
-        """Attempts begun."""
+        """Number of attempts started."""
         return self._number
 
     @property
     def moves(self) -> int:
-        """Attempts that were redirected by a newer record."""
-        return self._moves
+        """Number of attempts that were redirected by a newer record."""
+        return self._redirects
 
     def begun(self) -> None:
-        """Count an attempt."""
+        """Count an attempt that is started."""
         self._number += 1
 
     def failed(self, outcome: Outcome, reason: Reason) -> None:
-        """Note how an attempt ended without the server's answer."""
-        self._moves += reason is Reason.MOVED
+        """Record the end of an attempt without a response of the server."""
+        self._redirects += reason is Reason.MOVED
         self._may_have_run = self._may_have_run or outcome is Outcome.UNKNOWN
 
     def final(self, outcome: Outcome) -> Outcome:
-        """Return what the caller is told where the last attempt ended as *outcome*.
+        """Return the outcome of the request if its last attempt ended with *outcome*.
 
-        A refusal speaks of one attempt only: what an earlier one may have done stands.
+        NOT_RUN applies to one attempt only: if an earlier one may have run, the result is UNKNOWN.
         """
         if outcome is Outcome.NOT_RUN and self._may_have_run:
             return Outcome.UNKNOWN
         return outcome
 
 
-_NO = RetryDecision(False)
+_NO_RETRY = RetryDecision(False)
 
 
 def decide_retry(
     attempt: Attempt, budget: RetryBudget, time_left_s: float, rng: Random
 ) -> RetryDecision:
-    """Decide on one more attempt of a request."""
-    if attempt.reason in _FINAL or not attempt.replayable or attempt.number >= MAX_ATTEMPTS:
-        return _NO
+    """Decide whether a request is retried after *attempt*."""
+    if attempt.reason in _FINAL_REASONS or not attempt.replayable or attempt.number >= MAX_ATTEMPTS:
+        return _NO_RETRY
     if attempt.outcome is Outcome.UNKNOWN:
         if not attempt.repeatable or not budget.take():
-            return _NO
-        return _delayed(attempt.number, time_left_s, rng)
+            return _NO_RETRY
+        return _retry_with_backoff(attempt.number, time_left_s, rng)
     if attempt.outcome is not Outcome.NOT_RUN:
-        return _NO
-    if attempt.reason is Reason.MOVED and attempt.moves <= MAX_MOVES:
+        return _NO_RETRY
+    if attempt.reason is Reason.MOVED and attempt.moves <= MAX_REDIRECTS:
         return RetryDecision(True)
-    if attempt.reason in _WAITING or attempt.reason in (Reason.MOVED, Reason.FENCED):
-        return _delayed(attempt.number, time_left_s, rng)
+    if attempt.reason in _BACKOFF_REASONS or attempt.reason in (Reason.MOVED, Reason.FENCED):
+        return _retry_with_backoff(attempt.number, time_left_s, rng)
     if attempt.keyed or not attempt.alternatives or attempt.number > 2 or not budget.take():
-        return _NO
+        return _NO_RETRY
     return RetryDecision(True)
 
 
-def _delayed(number: int, time_left_s: float, rng: Random) -> RetryDecision:
-    """Return a retry after a growing, jittered delay, if the deadline leaves room for it."""
+def _retry_with_backoff(number: int, time_left_s: float, rng: Random) -> RetryDecision:
+    """Return a retry with jittered exponential backoff if the delay ends before the deadline."""
     ceiling = min(MAX_BACKOFF_S, FIRST_BACKOFF_S * 2 ** min(number - 1, 8))
     delay = ceiling * (0.5 + 0.5 * rng.random())
     if delay >= time_left_s:
-        return _NO
+        return _NO_RETRY
     return RetryDecision(True, delay)
--- a/packages/coordination/src/pearward_coordination/routing.py
+++ b/packages/coordination/src/pearward_coordination/routing.py
@@ -1,4 +1,4 @@
-"""Where a request goes: the owner of its key, or the less loaded of two servers."""
+"""Routing of requests: to the owner of the key, or to the less loaded of two random servers."""
 
 from __future__ import annotations
 
@@ -20,27 +20,27 @@
 
 
 class UnknownService(CoordinationError):
-    """No service of that name is in the table."""
+    """Raised for a service that is not in the table."""
 
 
 class NoRoute(CoordinationError):
-    """The service has no server that could take the request now."""
+    """Raised if a service currently has no server for the request."""
 
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """The chosen server's daemon."""
+    """Member that was chosen for a request."""
 
     member: Member
     position: int
     """Hash of the key; 0 for a pooled service."""
     version: int
-    """Version of the record that the choice was made by."""
+    """Version of the record on which the choice is based."""
     shard: Shard | None = None
 
 
 class Router:
-    """Chooses targets by the newest table and records that this daemon knows."""
+    """Chooses members by the newest table and records at this daemon."""
 
     def __init__(self, rng: Random) -> None:
         self._rng = rng
@@ -52,41 +52,41 @@
 
     @property
     def tables(self) -> Mapping[str, ServiceTable]:
-        """The rows of each known service."""
+        """Rows of each known service."""
         return self._tables
 
     @property
     def records(self) -> Mapping[str, CellRecord]:
-        """The assignment record of each known service."""
+        """Cell record of each known service."""
         return self._records
 
     def set_table(self, table: ServiceTable) -> None:
-        """Route by *table* from now on."""
+        """Replace the table of a service."""
         name = table.service.name
         self._tables[name] = table
         self._seeds[name] = service_seed(name)
         self._candidates.pop(name, None)
 
     def set_record(self, record: CellRecord) -> None:
-        """Route by *record* from now on."""
+        """Replace the record of a service."""
         self._records[record.service] = record
         self._candidates.pop(record.service, None)
 
     def row(self, service: str) -> ServiceTable:
-        """Return a service's rows; raises UnknownService."""
+        """Return a service's rows; raise UnknownService if it has none."""
         table = self._tables.get(service)
         if table is None or table.removed:
             raise UnknownService(f"unknown service {service!r}")
         return table
 
     def position(self, service: str, key: bytes) -> int:
-        """Return the hash of *key* in a known service's space."""
+        """Return the hash of *key* in the key space of a known service."""
         return key_hash(key, self._seeds[service])
 
     def route(self, service: str, key: bytes, avoid: Collection[str] = ()) -> Route:
-        """Return where a request goes; raises UnknownService or NoRoute.
+        """Return the route of a request; raise UnknownService or NoRoute if there is none.
 
-        Incarnations in *avoid* are taken only when there is no other.
+        For a pooled service, incarnations in *avoid* are chosen only if there is no other.
         """
         table = self.row(service)
         record = self._records.get(service)
@@ -121,7 +121,7 @@
     def _choose(
         self, service: str, record: CellRecord, table: ServiceTable, avoid: Collection[str]
     ) -> Member:
-        """Return the less loaded of two random members, by weight."""
+        """Return the less loaded of two random members; the load is relative to the weight."""
         candidates = self._candidates.get(service)
         if candidates is None:
             candidates = [
@@ -143,6 +143,6 @@
         return min(first, second, key=lambda m: self._load(m, table))
 
     def _load(self, member: Member, table: ServiceTable) -> float:
-        """Return this daemon's outstanding requests to *member*, for its weight."""
+        """Return this daemon's outstanding requests to *member* in relation to its weight."""
         weight = table.servers[member.server].weight
         return (self._outstanding.get(member.incarnation, 0) + 1) / weight
--- a/packages/coordination/src/pearward_coordination/witness_sets.py
+++ b/packages/coordination/src/pearward_coordination/witness_sets.py
@@ -1,4 +1,4 @@
-"""Which instances time the lease of which target. No I/O."""
+"""Choice of the instances that are witnesses of each target's lease. No I/O."""
 
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, replace
@@ -8,13 +8,13 @@
 
 __all__ = ["WitnessCandidate", "choose_witnesses", "with_witnesses"]
 
-MOST_WITNESSES = 5
-"""Witnesses of a target where there are enough instances: two may be lost at once."""
+MAX_WITNESSES = 5
+"""Maximum number of witnesses of a target; with five, two may be lost at once."""
 
 
 @dataclass(frozen=True, slots=True)
 class WitnessCandidate:
-    """An instance that can be a witness."""
+    """Instance that is eligible as a witness."""
 
     instance: str
     failure_domain: str
@@ -25,7 +25,8 @@
 ) -> tuple[str, ...]:
     """Return an odd number of instances, spread over failure domains and evenly over targets.
 
-    The target's own instance is one only where there is no other: it goes when the target does.
+    The target's own instance is chosen only if there is no other, since it fails together with
+    the target.
     """
     others = [c for c in candidates if c.instance != own_instance]
     if not others:
@@ -34,11 +35,11 @@
     by_domain: dict[str, list[str]] = {}
     for candidate in others:
         by_domain.setdefault(candidate.failure_domain, []).append(candidate.instance)
-    turns: list[str] = []
-    while len(turns) < len(others):
-        turns.extend(names.pop(0) for names in by_domain.values() if names)
-    count = min(MOST_WITNESSES, len(turns))
-    return tuple(sorted(turns[: count if count % 2 else count - 1]))
+    ordered: list[str] = []
+    while len(ordered) < len(others):
+        ordered.extend(names.pop(0) for names in by_domain.values() if names)
+    count = min(MAX_WITNESSES, len(ordered))
+    return tuple(sorted(ordered[: count if count % 2 else count - 1]))
 
 
 def with_witnesses(
@@ -49,9 +50,9 @@
 ) -> KeyMap:
     """Return the same version with a witness set for each target of the map.
 
-    A set that names an instance which is no candidate any more is replaced; the former one
-    stays behind it until the target is in *settled*: its daemon acts on the newer set, and
-    what was granted by the former one has run out. *instances* tells where targets run.
+    A set that names an instance which is no longer a candidate is replaced. The former set stays
+    in the row until the target is in *settled*, that is, until its daemon acts on the newer set
+    and the grants of the former one have expired. *instances* maps targets to their instances.
     """
     present = {c.instance for c in candidates}
     rows: list[TargetWitnesses] = []
