--- a/packages/coordination/src/pearward_coordination/attempt_plan.py
+++ b/packages/coordination/src/pearward_coordination/attempt_plan.py
@@ -67,7 +67,7 @@
     """Number of attempts that were refused because the target had no slot."""
     full_targets: set[str] = field(default_factory=set)
     sent_on: bool = False
-    """Whether the body is being forwarded unbuffered, so that it cannot be sent again."""
+    """Whether the body is being forwarded as a stream, so that it cannot be sent again."""
 
     def waits_for_owner(self, now: float) -> bool:
         """Return whether the request may wait for a target if none is available now."""
--- a/packages/coordination/src/pearward_coordination/contact.py
+++ b/packages/coordination/src/pearward_coordination/contact.py
@@ -16,7 +16,7 @@
 twice the lease, so that a short pause does not count."""
 NO_LEASE_DELAY_S = 0.5
 ISOLATED_DELAY_S = 5.0
-"""Interval in s of an isolated daemon's checks of the coordinator's key, of one read each."""
+"""Interval in s of an isolated daemon's reads of the coordinator's key in the store."""
 
 
 class CellContact:
@@ -26,9 +26,9 @@
         self._me = me
         self._last_received = now
         self._last_received_from_member = now - CONTACT_TIMEOUT_S
-        """Last message from an active or draining member, of the incarnation in the record."""
+        """Time of the last message from an active or draining member of the record."""
         self._last_reply = now
-        """Last reply: unlike other messages, it proves that this daemon's messages arrive."""
+        """Time of the last reply; only replies prove that this daemon's messages arrive."""
         self._record: CellRecord | None = None
         self._addresses: frozenset[str] = frozenset()
 
@@ -42,11 +42,11 @@
         if self._record is None or peer.address not in self._addresses:
             return
         self._last_received = now
-        if _is_active_member(self._record, peer.incarnation):
+        if _is_unretired(self._record, peer.incarnation):
             self._last_received_from_member = now
 
     def is_alone(self, now: float) -> bool:
-        """Return whether the record has other unretired members and none of them sends messages."""
+        """Return whether there are other active or draining members, but no message arrives."""
         if self._record is None or now - self._last_received < CONTACT_TIMEOUT_S:
             return False
         return any(
@@ -72,7 +72,7 @@
             return True
         if self.is_alone(now):
             return False
-        if _is_active_member(self._record, self._me.incarnation):
+        if _is_unretired(self._record, self._me.incarnation):
             return now - self._last_reply < CONTACT_TIMEOUT_S
         return now - self._last_received_from_member >= CONTACT_TIMEOUT_S
 
@@ -83,7 +83,7 @@
         return 0.0 if self._record is None or lease_held else NO_LEASE_DELAY_S
 
 
-def _is_active_member(record: CellRecord, incarnation: str) -> bool:
+def _is_unretired(record: CellRecord, incarnation: str) -> bool:
     """Return whether *incarnation* is an active or draining member of *record*."""
     member = record.member(incarnation)
     return member is not None and member.state is not MemberState.RETIRED
--- a/packages/coordination/src/pearward_coordination/directory.py
+++ b/packages/coordination/src/pearward_coordination/directory.py
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True, eq=False)
 class _Known:
-    """Member with the observations about it."""
+    """Member with this daemon's observations of it."""
 
     member: Member
     lapsed_at: float | None = None
