--- a/packages/coordination/src/pearward_coordination/contact.py
+++ b/packages/coordination/src/pearward_coordination/contact.py
@@ -15,6 +15,7 @@
 """Time in s without a message from any other daemon of the cell after which a daemon is isolated:
 twice the lease, so that a short pause does not count."""
 NO_LEASE_DELAY_S = 0.5
+"""Delay in s before a daemon without a lease tries to acquire the coordinator's role."""
 ISOLATED_DELAY_S = 5.0
 """Interval in s of an isolated daemon's reads of the coordinator's key in the store."""
 
--- a/packages/coordination/src/pearward_coordination/directory.py
+++ b/packages/coordination/src/pearward_coordination/directory.py
@@ -140,7 +140,7 @@
             return
         known.unreachable_until = now + UNREACHABLE_S
         if self._missing_s(known, now) >= 0.0:
-            self._forget(known)
+            self._remove(known)
 
     def refused(self, target: str) -> None:
         """Record that a target's daemon has refused new work."""
@@ -153,7 +153,7 @@
         for instance in tuple(self._lapsed):
             known = self._by_instance.get(instance)
             if known is not None and self._missing_s(known, now) > LAPSED_RETENTION_S:
-                self._forget(known)
+                self._remove(known)
 
     def _missing_s(self, known: _Known, now: float) -> float:
         """Return the seconds for which a member has been missing without a known reason.
@@ -171,7 +171,7 @@
         self._groups.clear()
         self._registered = None
 
-    def _forget(self, known: _Known) -> None:
+    def _remove(self, known: _Known) -> None:
         self._invalidate()
         member = known.member
         self._lapsed.discard(member.instance)
@@ -271,13 +271,13 @@
         unix_now: float,
         tried: frozenset[str],
         rng: Random,
-        asked: frozenset[str] = frozenset(),
+        queried: frozenset[str] = frozenset(),
     ) -> list[Candidate]:
         """Return a random sample of a service's targets that may get a request.
 
         Targets that are unreachable, draining or already tried are excluded. Unreachable ones are
-        returned only if no others are found. Usable targets of *asked*, whose daemons have just
-        reported their load, are always included.
+        returned only if no others are found. Usable targets of *queried*, whose daemons have just
+        reported their load on a query, are always included.
         """
         group = self._group(service)
 
@@ -288,7 +288,7 @@
         near_looks = NEAR_LOOKS if self._few_looks else len(group.near)
         far_looks = FAR_LOOKS if self._few_looks else len(group.far)
         found = draw(group.near, near_looks, usable, rng) + draw(group.far, far_looks, usable, rng)
-        for target in asked:
+        for target in queried:
             known = self._by_target.get(target)
             if known is not None and known not in found and usable(known):
                 found.append(known)
