--- a/packages/daemon/src/pearward_daemon/mesh/__init__.py
+++ b/packages/daemon/src/pearward_daemon/mesh/__init__.py
@@ -1,1 +1,1 @@
-"""The daemon on a users' platform: a store for what is agreed, targets that beat to it."""
+"""The daemon on a users' platform: shared state in a store, targets that send heartbeats."""
--- a/packages/daemon/src/pearward_daemon/mesh/app.py
+++ b/packages/daemon/src/pearward_daemon/mesh/app.py
@@ -24,21 +24,21 @@
 from .dialect import Dialect, GrantPort
 from .ingress import WINDOW, MeshIngress
 from .log import DecisionLog
-from .metrics import LateMetrics
+from .metrics import LazyMetrics
 from .paced_stream import LinkPacer, PacedStream
 from .settings import MeshSettings
 from .target_side import TargetSide
 
 __all__ = ["MeshDaemon"]
 
-READY_OFF_S = 2.4
+DEREGISTRATION_S = 2.4
 """Seconds after SIGTERM in which callers still come: the platform takes an instance out
 after two questions a second apart without a 200."""
-RESTART_S = 1.2
+RESTART_RETRY_S = 1.2
 """Seconds after which a caller that is turned away by a stopping daemon may come back: a
 process that has ended stands again a second later."""
-STOP_CHECK_S = 0.1
-STOP_MARGIN_S = 0.4
+STOP_POLL_S = 0.1
+KILL_MARGIN_S = 0.4
 """Seconds before the platform's SIGKILL by which this daemon ends by itself."""
 HEADER_BYTES = 64 * 1024
 """Bytes of a request's headers before a configuration sets a limit."""
@@ -61,33 +61,34 @@
         store: FleetStore,
         dialect: Dialect,
         grants: GrantPort,
-        beat_server: Callable[[TargetSide], LocalServer],
+        heartbeat_server: Callable[[TargetSide], LocalServer],
         rng: Random,
     ) -> None:
         self._reactor = reactor
         self._settings = settings
-        self._beat_server = beat_server
-        self._me = PeerId(secrets.token_hex(8), str(settings.peers_reached_at))
+        self._heartbeat_server = heartbeat_server
+        self._own_id = PeerId(secrets.token_hex(8), str(settings.peers_reached_at))
         self._log = DecisionLog(settings.log_lines_per_s, boot_time)
         link = LinkQueue(settings.link_mbit_per_s)
         self._link = link
         self._pacer = LinkPacer(reactor, link)
         self._note_sent = lambda size: link.handed_over(size, boot_time())
         self._pool = PeerPool(
-            self._me, self, reactor, window=WINDOW, bind_ip=settings.peers.ip,
+            self._own_id, self, reactor, window=WINDOW, bind_ip=settings.peers.ip,
             on_sent=self._note_sent,
         )  # fmt: skip
         client = ServerClient(reactor, settings.target_address)
         self._core = MeshCore(
-            reactor, settings, store, dialect, self._log, self._me, client,
+            reactor, settings, store, dialect, self._log, self._own_id, client,
             self._pool.send_control, link, grants,
         )  # fmt: skip
-        self._side = self._core.side
-        self._metrics = LateMetrics(settings.instance)
+        self._local_target = self._core.side
+        self._metrics = LazyMetrics(settings.instance)
         self._ingress = MeshIngress(
-            reactor, settings, dialect, self._core.directory, self._core.key_maps, self._side,
-            self._pool, self._log, self._metrics, rng, self._core.crashes.quarantine,
-            self._core.want_map, self._core.want_map_of_planner,
+            reactor, settings, dialect, self._core.directory, self._core.key_maps,
+            self._local_target, self._pool, self._log, self._metrics, rng,
+            self._core.crashes.quarantine,
+            self._core.request_map, self._core.request_map_from_planner,
         )  # fmt: skip
         self._callers = CallerFactory(
             self._ingress, reactor, HttpLimits(HEADER_BYTES, HEADER_COUNT, IDLE_S)
@@ -102,10 +103,10 @@
         """Listen and begin; the Deferred fires when the daemon has stopped."""
         settings = self._settings
         listen = self._reactor.listenTCP
-        peers = PeerListener(self._me, self, self._reactor, WINDOW, self._note_sent)
+        peers = PeerListener(self._own_id, self, self._reactor, WINDOW, self._note_sent)
         listen(settings.peers.port, peers, interface=settings.peers.ip, backlog=512)
         self._core.start(self._table_changed)
-        heartbeats = self._beat_server(self._side)
+        heartbeats = self._heartbeat_server(self._local_target)
         status = LocalServer(self._status, self._reactor)
         listen(settings.heartbeats.port, heartbeats, interface=settings.heartbeats.ip)
         listen(settings.readiness.port, status, interface=settings.readiness.ip)
@@ -115,8 +116,8 @@
         )
         self._export_gauges()
         self._log.decided(
-            "started", instance=settings.instance, incarnation=self._me.incarnation,
-            service=settings.service, peers=self._me.address,
+            "started", instance=settings.instance, incarnation=self._own_id.incarnation,
+            service=settings.service, peers=self._own_id.address,
         )  # fmt: skip
         return self._stopped
 
@@ -126,10 +127,10 @@
             return
         self._stopping_since = boot_time()
         self._log.decided(
-            "stopping", open=self._ingress.open_requests, at_target=self._side.open_requests
+            "stopping", open=self._ingress.open_requests, at_target=self._local_target.open_requests
         )
         self._core.stop()
-        self._ingress.stop(self._stopping_since + self._settings.stop_s - STOP_MARGIN_S)
+        self._ingress.stop(self._stopping_since + self._settings.stop_s - KILL_MARGIN_S)
         self._check_stopped()
 
     def reload(self, settings: MeshSettings) -> None:
@@ -145,49 +146,51 @@
         """
         assert self._stopping_since is not None
         waited_s = boot_time() - self._stopping_since
-        over = waited_s >= self._settings.stop_s - STOP_MARGIN_S
+        expired = waited_s >= self._settings.stop_s - KILL_MARGIN_S
         # Without a target there are no callers here that others could serve.
-        least_s = READY_OFF_S if self._side.info is not None else READY_OFF_S / 2
-        if waited_s >= least_s:
-            self._ingress.refuse_new(RESTART_S)
+        min_wait_s = (
+            DEREGISTRATION_S if self._local_target.info is not None else DEREGISTRATION_S / 2
+        )
+        if waited_s >= min_wait_s:
+            self._ingress.refuse_new(RESTART_RETRY_S)
             # What the target works on ends now; its keys wait there for the next life.
-            self._side.refuse_new()
+            self._local_target.refuse_new()
         idle = not self._open_requests
-        if over or (idle and waited_s >= least_s):
-            self._end(waited_s)
+        if expired or (idle and waited_s >= min_wait_s):
+            self._deregister(waited_s)
         else:
-            self._reactor.callLater(STOP_CHECK_S, self._check_stopped)
+            self._reactor.callLater(STOP_POLL_S, self._check_stopped)
 
     @property
     def _open_requests(self) -> int:
         """Requests that are not answered whole, here or towards other daemons."""
-        return self._ingress.open_requests + self._side.open_requests + self._pacer.waiting
+        return self._ingress.open_requests + self._local_target.open_requests + self._pacer.waiting
 
-    def _end(self, waited_s: float) -> None:
+    def _deregister(self, waited_s: float) -> None:
         """Begin nothing more, take the entry back, then let what came meanwhile end.
 
         Beside a living target the entry stays for the next life to write over.
         """
-        self._side.refuse_new()
-        keep = self._side.info is not None
+        self._local_target.refuse_new()
+        keep = self._local_target.info is not None
         self._log.decided(
             "ending", waited_s=round(waited_s, 3), open=self._open_requests,
             entry_kept=keep,
         )  # fmt: skip
-        self._core.session.stop(keep_entry=keep).addBoth(lambda _: self._end_when_idle())
+        self._core.session.stop(keep_entry=keep).addBoth(lambda _: self._exit_when_idle())
 
-    def _end_when_idle(self) -> None:
+    def _exit_when_idle(self) -> None:
         """End once the requests have ended that came while the store was waited for."""
         assert self._stopping_since is not None
         waited_s = boot_time() - self._stopping_since
-        over = waited_s >= self._settings.stop_s - STOP_MARGIN_S
+        expired = waited_s >= self._settings.stop_s - KILL_MARGIN_S
         open_requests = self._open_requests
-        if open_requests and not over:
-            self._reactor.callLater(STOP_CHECK_S, self._end_when_idle)
+        if open_requests and not expired:
+            self._reactor.callLater(STOP_POLL_S, self._exit_when_idle)
             return
         self._log.decided(
             "stopped", waited_s=round(waited_s, 3), open=open_requests,
-            cut=self._ingress.answer_open(),
+            cut=self._ingress.cancel_open(),
         )  # fmt: skip
         self._caller_port.stopListening()
         self._pool.close()
@@ -214,11 +217,11 @@
         """Take a request that began at another daemon."""
         newer = head.version > self._core.key_maps.version(head.service)
         if newer and connection.peer is not None:
-            self._core.want_map(head.service, connection.peer.address)
+            self._core.request_map(head.service, connection.peer.address)
         now = boot_time()
         return PacedStream(
             connection, stream, self._pacer, now + head.objective_ms / MS_PER_S,
-            lambda reply: self._side.take(head, ended, body, reply),
+            lambda reply: self._local_target.take(head, ended, body, reply),
             deadline=now + head.deadline_ms / MS_PER_S,
         )  # fmt: skip
 
@@ -239,45 +242,45 @@
         """Answer whether this daemon takes callers, or its figures."""
         if request.path.endswith(b"/metrics"):
             return LocalReply(self._metrics.exposition(), content_type=b"text/plain")
-        missing = self._core.missing
-        status = UNAVAILABLE if missing else OK
-        return LocalReply((missing or "ready").encode() + b"\n", status, b"text/plain")
+        unready_reason = self._core.unready_reason
+        status = UNAVAILABLE if unready_reason else OK
+        return LocalReply((unready_reason or "ready").encode() + b"\n", status, b"text/plain")
 
     def _drained_s(self) -> float:
         """Return for how many seconds this daemon has known that its failure domain is drained.
 
         0 where it is not; -1 where it was before this daemon listened.
         """
-        since = self._side.drained_since
+        since = self._local_target.drained_since
         if since is None:
             return 0.0
         return boot_time() - since if isfinite(since) else -1.0
 
     def _export_gauges(self) -> None:
         gauge = self._metrics.gauge
-        side = self._side
-        gauge("pearward.running", "Requests at the target", lambda: side.slots.load().running)
-        gauge("pearward.waiting", "Requests that wait", lambda: side.slots.load().waiting)
+        target = self._local_target
+        gauge("pearward.running", "Requests at the target", lambda: target.slots.load().running)
+        gauge("pearward.waiting", "Requests that wait", lambda: target.slots.load().waiting)
         gauge("pearward.open", "Callers' requests", lambda: self._ingress.open_requests)
         gauge("pearward.link.waiting", "Long answers that wait", lambda: self._pacer.waiting)
         gauge(
             "pearward.link.backlog", "Seconds that the link needs for all that waits",
             lambda: self._link.backlog_s(boot_time()),
         )  # fmt: skip
-        gauge("pearward.slowness", "Time of the target's work over usual", lambda: side.slowness)
+        gauge("pearward.slowness", "Time of the target's work over usual", lambda: target.slowness)
         gauge(
             "pearward.cold", "The target counts as cold",
-            lambda: float(side.slots.cold.is_cold(boot_time())),
+            lambda: float(target.slots.cold.is_cold(boot_time())),
         )  # fmt: skip
         gauge(
             "pearward.domains.drained", "Failure domains that are drained",
             lambda: len(self._core.drains.state.domains),
         )  # fmt: skip
         gauge("pearward.drained", "The own failure domain is drained", self._drained_s)
-        gauge("pearward.map.version", "Key map acted on", lambda: side.map_version)
+        gauge("pearward.map.version", "Key map acted on", lambda: target.map_version)
         gauge(
             "pearward.lease.left", "Seconds for which keys may be granted",
-            lambda: max(0.0, side.keeper.lease_ends - boot_time()),
+            lambda: max(0.0, target.keeper.lease_ends - boot_time()),
         )  # fmt: skip
         gauge(
             "pearward.configuration.version", "Configuration in force",
@@ -294,7 +297,7 @@
         )  # fmt: skip
         gauge(
             "pearward.store.returns", "Times that the store came back from an older copy",
-            lambda: float(self._core.session.store_returns),
+            lambda: float(self._core.session.store_rollbacks),
         )  # fmt: skip
         gauge("pearward.members", "Members known", lambda: len(self._core.directory.members))
         gauge(
--- a/packages/daemon/src/pearward_daemon/mesh/core.py
+++ b/packages/daemon/src/pearward_daemon/mesh/core.py
@@ -1,8 +1,8 @@
-"""What a daemon knows and decides together with the others; no socket is opened here.
+"""Membership, configuration and key ownership of one daemon, without sockets.
 
-Joins the store's session, the target beside this daemon, the key maps and the planner. All
-that leaves goes through the store's port and one function that sends a message to a peer,
-so that tests run many of these in one process and in virtual time.
+Connects the store session, the local target, the key maps and the planner. All output goes
+through the store client and one function that sends a message to a peer, so that tests can run
+many instances in one process and in virtual time.
 """
 
 from collections.abc import Callable, Mapping
@@ -55,22 +55,22 @@
 
 __all__ = ["MeshCore", "SendControl"]
 
-ASK_INTERVAL_S = 0.5
-"""Seconds between two questions to the same daemon about the same keys: it answers by itself
-once they are let go, so a question is sent again only in case it was lost."""
-ANSWERS_KEPT = 1024
-"""Questions of others that wait for keys to be let go, at most."""
+QUERY_INTERVAL_S = 0.5
+"""Minimum seconds between two queries to the same daemon about the same keys. The daemon replies
+once the keys are released, so a query is repeated only in case it was lost."""
+MAX_PENDING_QUERIES = 1024
+"""Maximum number of queries of other daemons that wait for the release of keys."""
 
 
 class SendControl(Protocol):
-    """Sends a message to another daemon; it may be lost."""
+    """Sends a message to another daemon, without guarantee of delivery."""
 
     def __call__(self, address: str, message: ControlMessage) -> None:
         """Send *message* to the daemon at *address* (IP:port)."""
 
 
 class MeshCore:
-    """Membership, configuration and ownership as one daemon sees them."""
+    """Membership, configuration and ownership as known to one daemon."""
 
     def __init__(
         self,
@@ -79,7 +79,7 @@
         store: FleetStore,
         dialect: Dialect,
         log: DecisionLog,
-        me: PeerId,
+        own_id: PeerId,
         client: ServerClient,
         send: SendControl,
         link: LinkQueue,
@@ -89,67 +89,75 @@
         self._settings = settings
         self._dialect = dialect
         self._log = log
-        self._me = me
+        self._own_id = own_id
         self._send = send
         self._directory = Directory(
             settings.failure_domain, settings.instance,
             few_looks=settings.overload.uses(Mechanism.FEW_LOOKS),
         )  # fmt: skip
         self._maps = KeyMaps(log)
-        self._crashes = CrashControl(settings, self._directory, log, send, self._keep_crash)
+        self._crashes = CrashControl(settings, self._directory, log, send, self._store_crash)
         guard = CrashGuard(self._crashes.quarantine, log, self._crashes.crashed_here)
-        self._side = TargetSide(reactor, settings, dialect, log, client, link, grants, guard)
+        self._local_target = TargetSide(
+            reactor, settings, dialect, log, client, link, grants, guard
+        )
         self._planner = KeyPlanner(
-            settings, store, self._directory, self._maps, log, self._spread, self._ask_former
+            settings,
+            store,
+            self._directory,
+            self._maps,
+            log,
+            self._broadcast_map,
+            self._query_former_leases,
         )
         self._witnesses = Witnesses(settings.holds, self._maps)
         self._lease = TargetLease(
-            settings.instance, settings.service, settings.holds, self._side.keeper, self._maps,
-            self._directory, self._witnesses, log, send,
+            settings.instance, settings.service, settings.holds, self._local_target.keeper,
+            self._maps, self._directory, self._witnesses, log, send,
         )  # fmt: skip
         self._drains = DrainControl(settings.failure_domains, dialect, log, self._drains_in_force)
         self._feed = MemberFeed(reactor, settings, store, self._directory, send, log, self._drains)
         self._session = StoreSession(reactor, settings, store, log, self, self._feed)
         self._table: RoutingTable | None = None
         self._on_table: Callable[[RoutingTable], None] | None = None
-        self._former: list[str] = []
+        self._former_targets: list[str] = []
         self._members_known = False
         self._stopping = False
-        self._asked: dict[tuple[str, int, int, int], float] = {}
-        self._askers: dict[AskKeys, PeerId] = {}
-        self._pulled: dict[str, float] = {}
+        self._last_query_at: dict[tuple[str, int, int, int], float] = {}
+        self._pending_queries: dict[AskKeys, PeerId] = {}
+        self._last_pull_at: dict[str, float] = {}
         self._maps.on_newer(self._map_adopted)
 
     # -- properties -------------------------------------------------------------
 
     @property
     def directory(self) -> Directory:
-        """The members."""
+        """The directory of members."""
         return self._directory
 
     @property
     def key_maps(self) -> KeyMaps:
-        """Who owns which keys."""
+        """The key maps of all services, which assign key ranges to owners."""
         return self._maps
 
     @property
     def side(self) -> TargetSide:
-        """The target beside this daemon."""
-        return self._side
+        """The daemon's half that serves its local target."""
+        return self._local_target
 
     @property
     def session(self) -> StoreSession:
-        """The dealings with the store."""
+        """The session with the store."""
         return self._session
 
     @property
     def feed(self) -> MemberFeed:
-        """Where changes of the members are heard of."""
+        """The source of changes to the members' entries."""
         return self._feed
 
     @property
     def planner(self) -> KeyPlanner:
-        """The duty of planning, which this daemon may have."""
+        """The key planner, active only while this daemon holds the planning duty."""
         return self._planner
 
     @property
@@ -159,17 +167,17 @@
 
     @property
     def crashes(self) -> CrashControl:
-        """The crashes of targets, and what follows from them."""
+        """The recorded crashes of targets, and the quarantine derived from them."""
         return self._crashes
 
     @property
     def table(self) -> RoutingTable | None:
-        """The configuration in force; None before one was read."""
+        """The configuration in force; None before the first was read."""
         return self._table
 
     @property
-    def missing(self) -> str:
-        """What keeps this daemon from taking callers' requests, or nothing."""
+    def unready_reason(self) -> str:
+        """The reason why this daemon cannot accept callers' requests; empty if it is ready."""
         if self._stopping:
             return "stopping"
         if self._table is None:
@@ -178,59 +186,59 @@
             return "members not known yet"
         return ""
 
-    # -- life ----------------------------------------------------------------------
+    # -- start and stop ------------------------------------------------------------
 
     def start(self, on_table: Callable[[RoutingTable], None]) -> None:
-        """Begin; *on_table* is called with each configuration that comes into force."""
+        """Start; *on_table* is called with each configuration that comes into force."""
         self._on_table = on_table
         self._session.start()
-        self._side.listen(self)
-        self._tick()
+        self._local_target.listen(self)
+        self._run_periodic_work()
         self._report()
         self._renew()
 
     def stop(self) -> None:
-        """Give the duty up, and the work of a target that any other can do.
+        """Give up the planning duty, and the local target's requests that other targets can run.
 
-        Who is told to stop while its target lives is started again in a moment: whether its
-        keys move meanwhile is the planner's decision.
+        A daemon that is stopped while its target runs is usually restarted shortly after: the
+        planner decides whether its keys are moved meanwhile.
         """
         self._stopping = True
-        self._side.stop()
+        self._local_target.stop()
         self._publish()
         self._send_report()
 
     # -- regular work -----------------------------------------------------------------
 
-    def _tick(self) -> None:
-        self._reactor.callLater(TICK_S, self._tick)
+    def _run_periodic_work(self) -> None:
+        self._reactor.callLater(TICK_S, self._run_periodic_work)
         self._directory.expire(boot_time())
         self._planner.own_entry(self._session.registered)
         if self._table is not None and self._members_known:
             self._planner.tick(self._table.keyed_services, self._stopping)
-        self._side.reconsider()
+        self._local_target.reconsider()
         self._lease.ask_releases()
-        self._answer_askers()
+        self._answer_pending_queries()
         self._feed.tick()
 
     def _renew(self) -> None:
-        """Keep the lease under which keys are granted."""
+        """Renew the lease under which keys are granted, and schedule the next renewal."""
         self._reactor.callLater(self._settings.holds.lease.renew_s, self._renew)
         if self._lease.renew():
-            self._side.reconsider()
+            self._local_target.reconsider()
 
     def _report(self) -> None:
         self._reactor.callLater(REPORT_INTERVAL_S, self._report)
         self._send_report()
 
     def _send_report(self) -> None:
-        """Tell the planner what this daemon sees of its keyed target."""
+        """Report the state of the local keyed target to the planner."""
         if self._table is None or self._settings.service not in self._table.keyed_services:
             return
         holder = self._planner.duty_holder()
         if holder is None:
             return
-        report = self._side.take_report()
+        report = self._local_target.take_report()
         if not report.target and not report.ended:
             return
         if holder.instance == self._settings.instance:
@@ -241,7 +249,7 @@
     # -- the store --------------------------------------------------------------------
 
     def configuration_read(self, document: bytes) -> None:
-        """Put a configuration in force if it is newer than the present one."""
+        """Put a configuration in force if it is newer than the current one."""
         try:
             table = self._dialect.configuration(document)
         except InvalidRecord as error:
@@ -257,33 +265,33 @@
         self._table = table
         if self._on_table is not None:
             self._on_table(table)
-        self._side.set_rules(table.rules(self._settings.service))
+        self._local_target.set_rules(table.rules(self._settings.service))
         self._publish()
 
     def drains_read(self, items: list[KeyValue], revision: int) -> None:
-        """Take all drains of failure domains."""
+        """Replace all drains of failure domains."""
         self._drains.entries_read(items, revision)
 
     def drain_changed(self, event: WatchEvent) -> None:
-        """Take one changed drain of a failure domain."""
+        """Apply one changed drain of a failure domain."""
         self._drains.entry_changed(event)
 
     def drains_complete_to(self, revision: int) -> None:
-        """All changes of drains up to a revision have been taken."""
+        """Note that all changes of drains up to a revision have been processed."""
         self._drains.complete_to(revision)
 
     def _drains_in_force(self, since: Mapping[str, float]) -> None:
-        """Let no target of a drained failure domain be chosen, nor the own one work on."""
+        """Exclude targets of drained failure domains, and bar the local one if it is among them."""
         self._directory.set_drained(since)
-        self._side.set_drained(since.get(self._settings.failure_domain))
+        self._local_target.set_drained(since.get(self._settings.failure_domain))
 
     def members_read(self, members: list[Member]) -> None:
-        """Take all members' entries."""
+        """Replace all members' entries."""
         self._members_known = True
         self._directory.entries_read(members, boot_time())
 
     def member_written(self, member: Member) -> None:
-        """Take a member's new or changed entry; who is new may have missed a key map."""
+        """Apply a new or changed entry; a new member is sent the key maps, as it may lack them."""
         known = self._directory.instance(member.instance)
         self._directory.entry_written(member)
         new = known is None or known.incarnation != member.incarnation
@@ -292,109 +300,111 @@
                 self._send_map(service, PeerId(member.incarnation, member.peer_address))
 
     def member_gone(self, instance: str) -> None:
-        """A member's entry went."""
+        """Apply the removal of a member's entry."""
         self._log.decided("member_entry_gone", instance=instance)
         self._directory.entry_gone(instance, boot_time())
 
     def crashes_read(self, records: list[CrashRecord]) -> None:
-        """Take crashes of targets that the store has."""
+        """Apply crashes of targets that are recorded in the store."""
         self._crashes.recorded(records)
 
-    def _keep_crash(self, record: CrashRecord) -> None:
-        """Have the store keep a crash of the target beside this daemon."""
+    def _store_crash(self, record: CrashRecord) -> None:
+        """Record a crash of the local target in the store."""
         self._session.record_crash(record)
 
     def key_maps_read(self, key_maps: list[KeyMap], era: int) -> None:
-        """Take the key maps that the store has, read in an era of it.
+        """Adopt the key maps that were read from the store in an era.
 
-        Later maps than one of an earlier era may be lost: it is not acted on before the planner
-        has written it anew.
+        A map of an earlier era is ignored until the planner has written it again, as later
+        versions may have been lost when the store was restored from an older copy.
         """
         for key_map in key_maps:
             if key_map.era >= era:
                 self._maps.adopt(key_map)
         self._witnesses.maps_read(era)
 
-    def store_answers(self, since: float | None) -> None:
-        """Take since when the store has answered."""
+    def store_availability_changed(self, since: float | None) -> None:
+        """Note since when the store has been available; None if it is not."""
         self._directory.store_answers(since)
 
     def former_targets(self, targets: list[str]) -> None:
-        """Take the targets that earlier lives of this daemon granted keys to."""
-        self._former = targets
-        self._side.former_known(targets)
-        self._note_former()
+        """Note the targets to which earlier incarnations of this daemon granted keys."""
+        self._former_targets = targets
+        self._local_target.former_known(targets)
+        self._note_ended_targets()
 
     # -- the target --------------------------------------------------------------------
 
     def target_info_changed(self, info: TargetInfo | None) -> None:
-        """Tell the others of the target beside this daemon."""
-        self._note_former()
+        """Publish the changed state of the local target."""
+        self._note_ended_targets()
         self._publish()
         if info is not None and info.state is not TargetState.READY:
             self._send_report()
 
     def keys_changed(self) -> None:
-        """Answer those who asked for keys, and tell the planner."""
-        self._answer_askers()
+        """Answer pending key queries, and report to the planner."""
+        self._answer_pending_queries()
         self._send_report()
 
     def keys_wanted(self) -> None:
-        """Ask the daemons beside the predecessors whether they let the keys go."""
+        """Query the predecessors' daemons for the release of keys."""
         now = boot_time()
-        key_map = self._side.keeper.key_map
+        key_map = self._local_target.keeper.key_map
         if key_map is None:
             return
-        for pending in self._side.keeper.pending(now):
+        for pending in self._local_target.keeper.pending(now):
             for predecessor in pending.predecessors:
-                question = AskKeys(
+                query = AskKeys(
                     key_map.service, predecessor.target, predecessor.fence,
                     pending.first, pending.last, key_map.version,
                 )  # fmt: skip
-                self._ask(question, now)
-        self._asked = {k: at for k, at in self._asked.items() if now - at < 4 * ASK_INTERVAL_S}
+                self._send_query(query, now)
+        self._last_query_at = {
+            k: at for k, at in self._last_query_at.items() if now - at < 4 * QUERY_INTERVAL_S
+        }
 
     def map_wanted(self) -> None:
-        """Ask the planner for its key map: the target knows a newer one."""
-        self.want_map_of_planner(self._settings.service)
+        """Request the planner's key map, as the target has seen a newer one."""
+        self.request_map_from_planner(self._settings.service)
 
-    def _ask(self, question: AskKeys, now: float) -> None:
-        member = self._directory.member_of(question.target)
-        key = (question.target, question.first, question.last, question.fence)
-        if member is None or now - self._asked.get(key, -1.0) < ASK_INTERVAL_S:
+    def _send_query(self, query: AskKeys, now: float) -> None:
+        member = self._directory.member_of(query.target)
+        key = (query.target, query.first, query.last, query.fence)
+        if member is None or now - self._last_query_at.get(key, -1.0) < QUERY_INTERVAL_S:
             return
         if member.instance != self._settings.instance:
-            self._asked[key] = now
-            self._send(member.peer_address, question)
+            self._last_query_at[key] = now
+            self._send(member.peer_address, query)
 
-    def _note_former(self) -> None:
-        """Find which of the targets of earlier lives are known to have ended."""
-        info = self._side.info
+    def _note_ended_targets(self) -> None:
+        """Mark targets of earlier incarnations as ended once a later target is known."""
+        info = self._local_target.info
         if info is None:
             return
-        older = self._former
+        older = self._former_targets
         if info.target in older:
             older = older[: older.index(info.target)]
         for target in older:
-            self._side.note_ended(target)
+            self._local_target.note_ended(target)
 
     def _publish(self) -> None:
-        """Write this daemon's entry as its target is now."""
-        info = self._side.info
+        """Write this daemon's entry with the current state of its target."""
+        info = self._local_target.info
         table = self._table
         if table is None:
             return
         if info is None:
             former = self._directory.instance(self._settings.instance)
-            if former is None or former.incarnation != self._me.incarnation:
+            if former is None or former.incarnation != self._own_id.incarnation:
                 return
-            # The target has ended: nobody may choose it any more.
+            # The target has ended: an entry without a target id keeps others from choosing it.
             info = TargetInfo("", former.slots, former.state, 0.0)
         member = Member(
             instance=self._settings.instance,
             failure_domain=self._settings.failure_domain,
-            peer_address=self._me.address,
-            incarnation=self._me.incarnation,
+            peer_address=self._own_id.address,
+            incarnation=self._own_id.incarnation,
             service=self._settings.service,
             target=info.target,
             slots=info.slots,
@@ -404,7 +414,7 @@
             link_mbit_per_s=self._settings.link_mbit_per_s,
         )
         keyed = self._settings.service in table.keyed_services
-        # Known here at once; the others learn it from the store.
+        # The local directory is updated at once, other daemons follow through the store.
         self._directory.entry_written(member)
         self._session.publish(member, keyed and bool(info.target))
 
@@ -412,10 +422,10 @@
 
     def _map_adopted(self, key_map: KeyMap) -> None:
         if key_map.service == self._settings.service:
-            self._side.adopt(key_map)
+            self._local_target.adopt(key_map)
 
-    def _spread(self, key_map: KeyMap) -> None:
-        """Tell every other daemon of a map that this one wrote."""
+    def _broadcast_map(self, key_map: KeyMap) -> None:
+        """Send every other daemon a map that this one wrote."""
         message = self._maps.message(key_map.service, key_map.version - 1)
         if message is None:
             return
@@ -423,24 +433,24 @@
             if member.instance != self._settings.instance:
                 self._send(member.peer_address, message)
 
-    def want_map_of_planner(self, service: str) -> None:
-        """Ask the planner for its key map of a service: there is none here, or an old one."""
+    def request_map_from_planner(self, service: str) -> None:
+        """Request the planner's key map of a service, where there is none here or an old one."""
         holder = self._planner.duty_holder()
         if holder is not None and holder.instance != self._settings.instance:
-            self.want_map(service, holder.peer_address)
+            self.request_map(service, holder.peer_address)
 
-    def want_map(self, service: str, address: str) -> None:
-        """Ask another daemon for its key map of a service."""
+    def request_map(self, service: str, address: str) -> None:
+        """Request the key map of a service from another daemon."""
         now = boot_time()
-        if now - self._pulled.get(service, -1.0) >= ASK_INTERVAL_S:
-            self._pulled[service] = now
+        if now - self._last_pull_at.get(service, -1.0) >= QUERY_INTERVAL_S:
+            self._last_pull_at[service] = now
             held = self._maps.version(service)
             self._send(address, Pull((key_map_key(service),), held))
 
     # -- peers -----------------------------------------------------------------------------
 
     def control_received(self, sender: PeerId, message: ControlMessage) -> None:
-        """Take a control message."""
+        """Process a control message."""
         match message:
             case KeyReport():
                 self._directory.heard(message.target, boot_time())
@@ -448,33 +458,33 @@
                 if version > message.version:
                     self._send_map(message.service, sender, message.version)
                 elif version < message.version:
-                    self.want_map(message.service, sender.address)
+                    self.request_map(message.service, sender.address)
             case Renew():
-                self._asked_to_renew(message, sender)
+                self._renewal_requested(message, sender)
             case RenewReply():
                 if message.version > self._maps.version(message.cell):
-                    self.want_map(message.cell, sender.address)
+                    self.request_map(message.cell, sender.address)
                 if self._lease.renewed(sender, message):
-                    self._side.reconsider()
+                    self._local_target.reconsider()
             case AskRelease():
                 if message.version > self._maps.version(message.cell):
-                    self.want_map(message.cell, sender.address)
+                    self.request_map(message.cell, sender.address)
                 self._send(sender.address, self._witnesses.release(message))
             case ReleaseReply() if not message.owner:
-                self._former_over(sender, message)
+                self._former_leases_ended(sender, message)
             case ReleaseReply():
                 if self._lease.released(sender, message):
-                    self._side.reconsider()
+                    self._local_target.reconsider()
             case AskKeys():
-                self._asked_for_keys(message, sender)
+                self._keys_queried(message, sender)
             case KeysLetGo():
                 predecessor = Predecessor(message.target, message.fence)
-                self._side.released_elsewhere(predecessor, message.rows)
+                self._local_target.released_elsewhere(predecessor, message.rows)
             case Push():
                 self._maps.take(message)
             case PushChange():
                 if self._maps.take_change(message, sender.address):
-                    # Whole: what was held did not do.
+                    # The change does not apply to the map held here: request the whole map.
                     self._send(sender.address, Pull((message.key,)))
             case Pull():
                 for key in message.keys:
@@ -491,55 +501,55 @@
             case _:
                 self._log.decided("message_unknown", kind=type(message).__name__)
 
-    def _asked_to_renew(self, ask: Renew, sender: PeerId) -> None:
-        """Answer as a witness; who is behind is brought up to date, whichever of the two."""
+    def _renewal_requested(self, ask: Renew, sender: PeerId) -> None:
+        """Answer as a witness, and bring whichever side has the older key map up to date."""
         known = self._maps.version(ask.cell)
         if ask.adopted > known:
-            self.want_map(ask.cell, sender.address)
+            self.request_map(ask.cell, sender.address)
         elif ask.adopted < known:
             self._send_map(ask.cell, sender, ask.adopted)
         self._send(sender.address, self._witnesses.renew(ask))
 
-    def _ask_former(self, instance: str, ask: AskRelease) -> None:
-        """Ask an instance whether leases run there by maps of earlier eras of the store."""
+    def _query_former_leases(self, instance: str, ask: AskRelease) -> None:
+        """Query an instance for leases that still run by maps of earlier eras of the store."""
         if instance == self._settings.instance:
             self._planner.former_over(instance, self._witnesses.release(ask))
         elif (member := self._directory.instance(instance)) is not None:
             self._send(member.peer_address, ask)
 
-    def _former_over(self, sender: PeerId, reply: ReleaseReply) -> None:
+    def _former_leases_ended(self, sender: PeerId, reply: ReleaseReply) -> None:
         for member in self._directory.members:
             if member.peer_address == sender.address:
                 self._planner.former_over(member.instance, reply)
 
     def _send_map(self, service: str, peer: PeerId, held: int = 0) -> None:
-        """Send a peer the newest map, or the change to it from the one that it holds."""
+        """Send a peer the newest map, or the change from the version that it holds."""
         message = self._maps.message(service, held)
         if message is not None:
             self._send(peer.address, message)
 
-    def _asked_for_keys(self, question: AskKeys, asker: PeerId) -> None:
-        """Answer now, or when the keys are let go."""
-        if question.version > self._maps.version(question.service):
-            self.want_map(question.service, asker.address)
-        if question.service != self._settings.service:
-            # Not a target of this instance: its witnesses know when its lease is over.
-            self._log.decided("question_not_for_here", service=question.service)
+    def _keys_queried(self, query: AskKeys, requester: PeerId) -> None:
+        """Answer a key query now, or once the keys are released."""
+        if query.version > self._maps.version(query.service):
+            self.request_map(query.service, requester.address)
+        if query.service != self._settings.service:
+            # Not a target of this instance: its witnesses report when its lease has expired.
+            self._log.decided("question_not_for_here", service=query.service)
             return
-        if len(self._askers) < ANSWERS_KEPT:
-            self._askers[question] = asker
-        self._answer_askers()
+        if len(self._pending_queries) < MAX_PENDING_QUERIES:
+            self._pending_queries[query] = requester
+        self._answer_pending_queries()
 
-    def _answer_askers(self) -> None:
-        """Answer every question whose keys have been let go."""
+    def _answer_pending_queries(self) -> None:
+        """Answer every query whose keys have been released."""
         now = boot_time()
-        for question, asker in list(self._askers.items()):
-            rows = self._side.keeper.release_of(
-                question.target, question.first, question.last, question.fence,
-                question.version, now,
+        for query, requester in list(self._pending_queries.items()):
+            rows = self._local_target.keeper.release_of(
+                query.target, query.first, query.last, query.fence,
+                query.version, now,
             )  # fmt: skip
             if rows is None:
                 continue
-            del self._askers[question]
-            answer = KeysLetGo(question.service, question.target, question.fence, tuple(rows))
-            self._send(asker.address, answer)
+            del self._pending_queries[query]
+            answer = KeysLetGo(query.service, query.target, query.fence, tuple(rows))
+            self._send(requester.address, answer)
--- a/packages/daemon/src/pearward_daemon/mesh/ingress.py
+++ b/packages/daemon/src/pearward_daemon/mesh/ingress.py
@@ -67,20 +67,20 @@
         self.local = local
         self.map_version = map_version
 
-    def begun(self) -> None:
+    def attempt_started(self) -> None:
         """Count the attempt as under way."""
         view = self._directory.view(self.target)
         if view is not None:
             view.in_flight += 1
 
-    def over(self) -> None:
+    def attempt_ended(self) -> None:
         """Stop counting the attempt."""
         view = self._directory.view(self.target)
         if view is not None:
             view.in_flight = max(0, view.in_flight - 1)
 
 
-class _Answered:
+class _DiscardedBody:
     """Takes the rest of a request that was answered at once."""
 
     def body_received(self, data: bytes) -> None:
@@ -109,14 +109,14 @@
         dialect: Dialect,
         directory: Directory,
         key_maps: KeyMaps,
-        side: TargetSide,
+        local_target: TargetSide,
         pool: PeerPool,
         log: DecisionLog,
         metrics: RequestMetrics,
         rng: Random,
         quarantine: Quarantine,
-        want_map: Callable[[str, str], None],
-        want_map_of_planner: Callable[[str], None],
+        request_map: Callable[[str, str], None],
+        request_map_from_planner: Callable[[str], None],
     ) -> None:
         self._reactor = reactor
         self._settings = settings
@@ -125,26 +125,26 @@
         self._pool = pool
         self._metrics = metrics
         self._rng = rng
-        self._want_map = want_map
-        self._want_map_of_planner = want_map_of_planner
+        self._request_map = request_map
+        self._request_map_from_planner = request_map_from_planner
         self._table: RoutingTable | None = None
         self._turns: dict[tuple[str, tuple[Any, ...]], WeightedTurns] = {}
         self._budgets: dict[str, RetryWindow] = {}
-        self._kilobytes: dict[str, float] = {}
+        self._mean_size_kb: dict[str, float] = {}
         """Mean size of a request and its answer, by route."""
-        self._deadlines: dict[str, UsualDeadline] = {}
+        self._usual_deadlines: dict[str, UsualDeadline] = {}
         """Time that callers usually allow for their first try, by route."""
-        self._odds: dict[str, IdleOdds] = {}
+        self._idle_odds: dict[str, IdleOdds] = {}
         self._shedding = KeyShedding(rng)
         self._sheds = settings.overload.uses(Mechanism.SHED_KEYS)
         self._open: set[RoutedRequest] = set()
         self._stopping = False
         self._ends_at = math.inf
         """Time in s at which this daemon ends; nothing reaches a caller from then on."""
-        self._refusing_s = 0.0
+        self._refusal_retry_s = 0.0
         self.directory = directory
         self.quarantine = quarantine
-        self.side = side
+        self.local_target = local_target
         self.log = log
 
     # -- properties -------------------------------------------------------------
@@ -173,8 +173,10 @@
         """Put a newer configuration in force; routes that did not change keep their turns."""
         self._table = table
         names = {route.name for route in table.routes}
-        self._deadlines = {n: usual for n, usual in self._deadlines.items() if n in names}
-        self._kilobytes = {name: kb for name, kb in self._kilobytes.items() if name in names}
+        self._usual_deadlines = {
+            n: usual for n, usual in self._usual_deadlines.items() if n in names
+        }
+        self._mean_size_kb = {name: kb for name, kb in self._mean_size_kb.items() if name in names}
         present = {(route.name, route.services) for route in table.routes}
         self._turns = {key: turns for key, turns in self._turns.items() if key in present}
 
@@ -185,12 +187,12 @@
 
     def refuse_new(self, retry_after_s: float) -> None:
         """Turn new requests away from now on, to come back after some seconds."""
-        self._refusing_s = retry_after_s
+        self._refusal_retry_s = retry_after_s
 
-    def answer_open(self) -> int:
+    def cancel_open(self) -> int:
         """Tell callers without an answer that there will be none; return how many are cut."""
         for routed in list(self._open):
-            routed.daemon_ends()
+            routed.daemon_stopping()
         return len(self._open)
 
     # -- requests ---------------------------------------------------------------------
@@ -203,9 +205,9 @@
             intent = self._dialect.intent(request.header_values())
         except BadHeader as error:
             return self._answer(request, BAD_REQUEST, b"", str(error))
-        if self._refusing_s:
+        if self._refusal_retry_s:
             return self._answer(
-                request, UNAVAILABLE, intent.request_id, "stopping", self._refusing_s
+                request, UNAVAILABLE, intent.request_id, "stopping", self._refusal_retry_s
             )
         table = self._table
         if table is None:
@@ -240,9 +242,11 @@
             detail=detail,
         )  # fmt: skip
         request.answer_whole(status, headers, b"")
-        return _Answered()
+        return _DiscardedBody()
 
-    def ended(self, request: RoutedRequest, how: str, status: int, took_s: float) -> None:
+    def request_finished(
+        self, request: RoutedRequest, how: str, status: int, took_s: float
+    ) -> None:
         """A request was answered, or its caller has left."""
         self._open.discard(request)
         outcome = how if status < 500 or how != "answered" else "target_failed"
@@ -268,7 +272,7 @@
         """Return the seconds since a caller's first try, by what it still allows."""
         if deadline_ms is None or not self._settings.overload.uses(Mechanism.AGED_RETURNS):
             return 0.0
-        usual = self._deadlines.setdefault(route.name, UsualDeadline())
+        usual = self._usual_deadlines.setdefault(route.name, UsualDeadline())
         return usual.age_s(deadline_ms / MS_PER_S, now)
 
     def is_keyed(self, service: str) -> bool:
@@ -293,7 +297,7 @@
         now = boot_time()
         directory = self.directory
         candidates = directory.candidates(service, now, unix_time(), tried, self._rng, asked)
-        size_kb = self._kilobytes.get(route.name, 0.0)
+        size_kb = self._mean_size_kb.get(route.name, 0.0)
         exchange = Exchange(size_kb, route.kind is RequestKind.DOWNLOAD)
         usual_s = directory.usual_s(service)
         chosen = choose_target(candidates, now, self._rng, exchange, usual_s)
@@ -307,7 +311,7 @@
         if key_map is not None and owned is not None and owned.owner:
             placement = self._placement(owned.owner, key_map.version)
         if placement is None or not self.directory.reachable(placement.target, boot_time()):
-            self._want_map_of_planner(service)
+            self._request_map_from_planner(service)
         return placement
 
     def _placement(self, target: str, map_version: int) -> Placement | None:
@@ -338,7 +342,7 @@
         """The owner of a key has run a request."""
         self._shedding.served(service, key, boot_time())
 
-    def has_other(self, service: str, tried: set[str]) -> bool:
+    def has_other_target(self, service: str, tried: set[str]) -> bool:
         """Return whether a service has a target that was not tried."""
         return self.directory.has_candidate(service, frozenset(tried))
 
@@ -346,7 +350,7 @@
         """Return how often targets of a service have a free place; None where nobody asks."""
         if not self._settings.overload.uses(Mechanism.IDLE_FIRST):
             return None
-        return self._odds.setdefault(service, IdleOdds())
+        return self._idle_odds.setdefault(service, IdleOdds())
 
     def connection(self, address: str) -> PeerConnection | None:
         """Return the connection to another daemon if it is up."""
@@ -356,7 +360,7 @@
         """Connect to another daemon; fails with PeerUnreachable."""
         return self._pool.connect(address)
 
-    def arrived(self, service: str) -> None:
+    def count_arrival(self, service: str) -> None:
         """A target of a service has received a request for the first time."""
         self._budget(service).request(boot_time())
 
@@ -373,38 +377,38 @@
 
     # -- what requests learn -------------------------------------------------------------
 
-    def loaded(self, target: str, load: TargetLoad) -> None:
+    def load_reported(self, target: str, load: TargetLoad) -> None:
         """An answer told a target's load."""
         self.directory.loaded(target, load, boot_time())
 
-    def carried(self, route: Route, size: int) -> None:
+    def exchange_completed(self, route: Route, size: int) -> None:
         """A request and its answer of *size* bytes were exchanged on a route."""
         kilobytes = size / BYTES_PER_KB
-        mean = self._kilobytes.get(route.name, kilobytes)
-        self._kilobytes[route.name] = mean + SIZE_WEIGHT * (kilobytes - mean)
+        mean = self._mean_size_kb.get(route.name, kilobytes)
+        self._mean_size_kb[route.name] = mean + SIZE_WEIGHT * (kilobytes - mean)
 
-    def failed_at(self, target: str) -> None:
+    def target_failed(self, target: str) -> None:
         """A target failed a request."""
         view = self.directory.view(target)
         if view is not None:
             view.failed(boot_time())
 
-    def answered_well(self, target: str) -> None:
+    def target_succeeded(self, target: str) -> None:
         """A target answered as it should: half of what it failed lately is forgiven."""
         view = self.directory.view(target)
         if view is not None and view.failures:
             view.failures = view.recent_failures(boot_time()) * 0.7
             view.failed_at = boot_time()
 
-    def not_reached(self, target: str, detail: str) -> None:
+    def target_unreachable(self, target: str, detail: str) -> None:
         """The daemon beside a target could not be reached."""
         self.directory.unreachable(target, boot_time())
         self.log.decided("peer_unreachable", failure=True, target=target, detail=detail)
 
-    def learned(self, service: str, map_version: int, placement: Placement) -> None:
+    def map_version_seen(self, service: str, map_version: int, placement: Placement) -> None:
         """A daemon answered by a key map of *map_version*: ask it for that if it is newer."""
         if map_version > self._maps.version(service) and not placement.local:
-            self._want_map(service, placement.address)
+            self._request_map(service, placement.address)
 
     # -- headers -------------------------------------------------------------------------
 
--- a/packages/daemon/src/pearward_daemon/mesh/member_feed.py
+++ b/packages/daemon/src/pearward_daemon/mesh/member_feed.py
@@ -32,25 +32,25 @@
 
 __all__ = ["MemberFeed"]
 
-HOLD_S = 1.0
+MAX_HOLD_S = 1.0
 """Seconds after which a watcher answers without news: its silence then tells that it is gone."""
-ANSWER_S = 1.5
+REPLY_TIMEOUT_S = 1.5
 """Seconds for which an answer is waited for: the hold, and what a busy link adds."""
-STORE_WAIT_S = 4.0
+STORE_POLL_S = 4.0
 """Seconds for which one call to the store waits for changes. A connection may go silent while
 others work; then this daemon, and all that ask it, hear nothing until the call has timed out."""
-FOLLOWS_S = 1.0
+CURRENT_FOR_S = 1.0
 """Seconds between two calls to the store in which a watcher still tells what it knows."""
-QUESTIONS_KEPT = 4096
+MAX_PENDING_QUERIES = 4096
 """Questions that wait at a watcher, at most: each of the others has one."""
 
 
 @dataclass(frozen=True, slots=True)
-class _Question:
-    asker: PeerId
+class _PendingQuery:
+    requester: PeerId
     nonce: int
     after: int
-    came: float
+    received: float
 
 
 class MemberFeed:
@@ -74,14 +74,14 @@
         self._log = log
         self._watchers = Watchers(directory, settings.instance, settings.failure_domain)
         self._changes = ChangeLog()
-        self._questions: list[_Question] = []
+        self._pending_queries: list[_PendingQuery] = []
         self._nonce = 0
-        self._asked: dict[int, Deferred[TellChanges | None]] = {}
-        self._watches: bool | None = None
+        self._awaited_replies: dict[int, Deferred[TellChanges | None]] = {}
+        self._was_watcher: bool | None = None
         """Whether this daemon was a watcher when it last asked; None before."""
-        self._from_store = 0
+        self._store_calls = 0
         """Calls to the store that wait for changes now."""
-        self._followed_at = float("-inf")
+        self._last_store_reply = float("-inf")
         """When the last such call ended with an answer."""
         self._available = True
 
@@ -93,23 +93,23 @@
         return self._watchers.has_own
 
     @property
-    def _follows(self) -> bool:
+    def _is_current(self) -> bool:
         """Whether what is known here is what the store has, but for the last moments."""
         if not self._available:
             return False
-        return bool(self._from_store) or boot_time() - self._followed_at < FOLLOWS_S
+        return bool(self._store_calls) or boot_time() - self._last_store_reply < CURRENT_FOR_S
 
     # -- this daemon's own view -------------------------------------------------------
 
-    def began(self, revision: int) -> None:
+    def entries_read(self, revision: int) -> None:
         """All entries were read from the store, as they were at a revision."""
         self._changes.begin(revision)
 
-    def store_answers(self, available: bool) -> None:
+    def set_store_available(self, available: bool) -> None:
         """Take whether the store answers this daemon: while it does not, nobody relies on it."""
         self._available = available
         if not available:
-            self._answer(lambda _: True)
+            self._reply_due(lambda _: True)
 
     async def changes(self, after: int, wait_s: float) -> Changes:
         """Return what has changed after a revision, once there is something or time has passed.
@@ -117,32 +117,32 @@
         Raises what the store raises: HistoryGone where all has to be read anew.
         """
         watches = self.is_watcher
-        if watches != self._watches:
-            self._watches = watches
+        if watches != self._was_watcher:
+            self._was_watcher = watches
             members = len(self._directory.registered)
             self._log.decided("watching", follows_store=watches, members=members, after=after)
         if not watches or not self._available:
             for watcher in self._watchers.to_ask(boot_time()):
-                told = await self._ask(watcher, after)
+                told = await self._query_watcher(watcher, after)
                 if told is not None:
-                    return self._took(after, told)
+                    return self._record(after, told)
         if not self._available:
             # The lease shows when the store is back: until then a call would be refused too.
             raise PlatformUnavailable("neither the store nor a watcher tells of changes")
-        return await self._of_store(after, wait_s)
+        return await self._store_changes(after, wait_s)
 
-    async def _of_store(self, after: int, wait_s: float) -> Changes:
-        self._from_store += 1
+    async def _store_changes(self, after: int, wait_s: float) -> Changes:
+        self._store_calls += 1
         try:
-            changes = await self._store.changes(MEMBERS, after, min(wait_s, STORE_WAIT_S))
+            changes = await self._store.changes(MEMBERS, after, min(wait_s, STORE_POLL_S))
         finally:
-            self._from_store -= 1
-        self._followed_at = boot_time()
-        taken = self._took(after, changes)
-        self._answer(lambda question: question.after < changes.revision)
+            self._store_calls -= 1
+        self._last_store_reply = boot_time()
+        taken = self._record(after, changes)
+        self._reply_due(lambda query: query.after < changes.revision)
         return taken
 
-    def _took(self, after: int, changes: Changes) -> Changes:
+    def _record(self, after: int, changes: Changes) -> Changes:
         """Remember changes for those who ask here."""
         if self._changes.revision != after:
             self._changes.begin(after)
@@ -151,13 +151,13 @@
 
     # -- asking a watcher ----------------------------------------------------------------
 
-    async def _ask(self, watcher: Member, after: int) -> Changes | None:
+    async def _query_watcher(self, watcher: Member, after: int) -> Changes | None:
         """Ask a watcher; None where another one, or the store, has to be asked."""
         self._nonce += 1
         nonce = self._nonce
         answer: Deferred[TellChanges | None] = Deferred()
-        self._asked[nonce] = answer
-        timer = self._reactor.callLater(ANSWER_S, self._gave_no_answer, nonce)
+        self._awaited_replies[nonce] = answer
+        timer = self._reactor.callLater(REPLY_TIMEOUT_S, self._query_timed_out, nonce)
         self._send(watcher.peer_address, AskChanges(nonce, after))
         told = await answer
         if timer.active():
@@ -175,54 +175,54 @@
             return None
         return Changes(tuple(_event(change) for change in told.changes), told.revision)
 
-    def _gave_no_answer(self, nonce: int) -> None:
-        answer = self._asked.pop(nonce, None)
+    def _query_timed_out(self, nonce: int) -> None:
+        answer = self._awaited_replies.pop(nonce, None)
         if answer is not None:
             answer.callback(None)
 
     def told(self, message: TellChanges) -> None:
         """A watcher has answered; an answer that comes too late is dropped."""
-        answer = self._asked.pop(message.nonce, None)
+        answer = self._awaited_replies.pop(message.nonce, None)
         if answer is not None:
             answer.callback(message)
 
     # -- answering others ---------------------------------------------------------------
 
-    def asked(self, sender: PeerId, question: AskChanges) -> None:
+    def asked(self, sender: PeerId, query: AskChanges) -> None:
         """Another daemon asks what has changed: answer with the next news."""
-        waiting = _Question(sender, question.nonce, question.after, boot_time())
-        self._questions.append(waiting)
-        if not self._follows or question.after < self._changes.revision:
-            self._answer(lambda other: other is waiting)
-        elif len(self._questions) > QUESTIONS_KEPT:
-            self._answer(lambda _: True)
+        waiting = _PendingQuery(sender, query.nonce, query.after, boot_time())
+        self._pending_queries.append(waiting)
+        if not self._is_current or query.after < self._changes.revision:
+            self._reply_due(lambda other: other is waiting)
+        elif len(self._pending_queries) > MAX_PENDING_QUERIES:
+            self._reply_due(lambda _: True)
 
     def tick(self) -> None:
         """Answer who has waited for long."""
-        before = boot_time() - HOLD_S
-        self._answer(lambda question: question.came <= before)
+        before = boot_time() - MAX_HOLD_S
+        self._reply_due(lambda query: query.received <= before)
 
-    def _answer(self, due: Callable[[_Question], bool]) -> None:
+    def _reply_due(self, due: Callable[[_PendingQuery], bool]) -> None:
         """Answer the questions that are due."""
-        waiting: list[_Question] = []
+        waiting: list[_PendingQuery] = []
         answers: dict[int, TellChanges] = {}
-        for question in self._questions:
-            if not due(question):
-                waiting.append(question)
+        for query in self._pending_queries:
+            if not due(query):
+                waiting.append(query)
                 continue
-            found = answers.get(question.after)
+            found = answers.get(query.after)
             if found is None:
-                found = answers[question.after] = self._answer_to(question.after)
-            self._send(question.asker.address, replace(found, nonce=question.nonce))
-        self._questions = waiting
+                found = answers[query.after] = self._reply_for(query.after)
+            self._send(query.requester.address, replace(found, nonce=query.nonce))
+        self._pending_queries = waiting
 
-    def _answer_to(self, after: int) -> TellChanges:
+    def _reply_for(self, after: int) -> TellChanges:
         drains = self._drains.state
         told = TellChanges(
-            0, follows=self._follows, known=False, revision=0, changes=(),
+            0, follows=self._is_current, known=False, revision=0, changes=(),
             drains_revision=drains.revision, drained=tuple(sorted(drains.domains)),
         )  # fmt: skip
-        changes = self._changes.after(after) if self._follows else None
+        changes = self._changes.after(after) if self._is_current else None
         if changes is None:
             return told
         revision = max(after, self._changes.revision)
--- a/packages/daemon/src/pearward_daemon/mesh/metrics.py
+++ b/packages/daemon/src/pearward_daemon/mesh/metrics.py
@@ -7,21 +7,21 @@
 from collections.abc import Callable
 from typing import Any
 
-__all__ = ["LateMetrics"]
+__all__ = ["LazyMetrics"]
 
-KEPT = 5_000
+MAX_BUFFERED = 5_000
 """Requests that are kept until the libraries are there; further ones are not counted."""
 LATENCY_BUCKETS_S = (
     0.005, 0.01, 0.02, 0.05, 0.1, 0.15, 0.2, 0.3, 0.4, 0.5, 0.6, 0.8, 1.0, 1.5, 2.0, 4.0,
 )  # fmt: skip
 
 
-class LateMetrics:
+class LazyMetrics:
     """What one daemon counts and times."""
 
     def __init__(self, instance: str) -> None:
         self._instance = instance
-        self._kept: list[tuple[float, dict[str, str]]] = []
+        self._buffered: list[tuple[float, dict[str, str]]] = []
         self._gauges: list[tuple[str, str, Callable[[], float]]] = []
         self._duration: Any = None
 
@@ -30,8 +30,8 @@
         labels = {"route": route, "service": service, "outcome": how}
         if self._duration is not None:
             self._duration.record(took_s, labels)
-        elif len(self._kept) < KEPT:
-            self._kept.append((took_s, labels))
+        elif len(self._buffered) < MAX_BUFFERED:
+            self._buffered.append((took_s, labels))
 
     def gauge(self, name: str, description: str, read: Callable[[], float]) -> None:
         """Export a value that is read when metrics are."""
@@ -60,8 +60,8 @@
         self._duration = meter.create_histogram(
             "pearward.request.duration", unit="s", description="From a caller's headers to the end"
         )
-        kept, self._kept = self._kept, []
-        for took_s, labels in kept:
+        buffered, self._buffered = self._buffered, []
+        for took_s, labels in buffered:
             self._duration.record(took_s, labels)
         for name, description, read in self._gauges:
 
--- a/packages/daemon/src/pearward_daemon/mesh/paced_stream.py
+++ b/packages/daemon/src/pearward_daemon/mesh/paced_stream.py
@@ -19,10 +19,10 @@
 
 __all__ = ["LinkPacer", "PacedStream"]
 
-KEPT_BYTES = 1024 * 1024
+MAX_BUFFERED_BYTES = 1024 * 1024
 """Bytes of one answer that are kept here; the target is read no further beyond that. The
 largest answers seen on the users' sites have half of it."""
-SHORTEST_WAIT_S = 0.001
+MIN_WAIT_S = 0.001
 
 
 class LinkPacer:
@@ -57,18 +57,18 @@
         self._queue.leave(ticket)
         self._streams.pop(ticket, None)
 
-    def give_turns(self) -> None:
+    def send_chunks(self) -> None:
         """Let answers go out until the link has enough for the moment."""
         while (ticket := self._queue.next(boot_time())) is not None:
-            self._streams[ticket].take_turn()
+            self._streams[ticket].send_chunk()
         if self._streams and self._timer is None:
-            wait_s = max(SHORTEST_WAIT_S, self._queue.free_in_s(boot_time()))
+            wait_s = max(MIN_WAIT_S, self._queue.free_in_s(boot_time()))
             if any(ticket.sendable for ticket in self._streams):
-                self._timer = self._reactor.callLater(wait_s, self._link_is_free)
+                self._timer = self._reactor.callLater(wait_s, self._link_available)
 
-    def _link_is_free(self) -> None:
+    def _link_available(self) -> None:
         self._timer = None
-        self.give_turns()
+        self.send_chunks()
 
 
 class PacedStream(PeerReply):
@@ -91,9 +91,9 @@
         self._ticket: LinkTicket | None = None
         self._head: ResponseHead | None = None
         """Head of a long answer that has not had its first turn."""
-        self._kept = bytearray()
-        self._target_waits = False
-        self._reset_after: ResetCode | None = None
+        self._buffer = bytearray()
+        self._target_paused = False
+        self._deferred_reset: ResetCode | None = None
         """Reset that follows the answer: the target did not want the rest of the request."""
         self._request = take(self)
 
@@ -114,44 +114,44 @@
         ticket = self._ticket
         if ticket is None:
             return True
-        self._kept += data
-        ticket.unsent = len(self._kept)
+        self._buffer += data
+        ticket.unsent = len(self._buffer)
         ticket.remaining = max(ticket.remaining, ticket.unsent)
         if ended:
             ticket.remaining = ticket.unsent
             ticket.ended = True
-        self._pacer.give_turns()
-        self._target_waits = len(self._kept) >= KEPT_BYTES
-        return not self._target_waits
+        self._pacer.send_chunks()
+        self._target_paused = len(self._buffer) >= MAX_BUFFERED_BYTES
+        return not self._target_paused
 
     def reset(self, code: ResetCode) -> None:
         """Break the answer off; one that is whole here is still sent."""
         if self._ticket is not None and self._ticket.ended:
-            self._reset_after = code
+            self._deferred_reset = code
             return
         self._leave()
         super().reset(code)
 
-    def take_turn(self) -> None:
+    def send_chunk(self) -> None:
         """Hand the next chunk over to the connection."""
         ticket = self._ticket
         assert ticket is not None
         if self._head is not None:
             head, self._head = self._head, None
             super().respond(head, ended=False)
-        chunk = bytes(self._kept[: self._pacer.chunk])
-        del self._kept[: len(chunk)]
-        ticket.unsent = len(self._kept)
+        chunk = bytes(self._buffer[: self._pacer.chunk])
+        del self._buffer[: len(chunk)]
+        ticket.unsent = len(self._buffer)
         ticket.remaining -= len(chunk)
         ticket.begun = True
-        last = ticket.ended and not self._kept
+        last = ticket.ended and not self._buffer
         ticket.blocked = not super().send_data(chunk, ended=last)
         if last:
             self._leave()
-            if self._reset_after is not None:
-                super().reset(self._reset_after)
-        elif self._target_waits and len(self._kept) < KEPT_BYTES:
-            self._target_waits = False
+            if self._deferred_reset is not None:
+                super().reset(self._deferred_reset)
+        elif self._target_paused and len(self._buffer) < MAX_BUFFERED_BYTES:
+            self._target_paused = False
             self._request.writable()
 
     def _leave(self) -> None:
@@ -176,7 +176,7 @@
         """The receiver takes more."""
         if self._ticket is not None:
             self._ticket.blocked = False
-            self._pacer.give_turns()
+            self._pacer.send_chunks()
 
     def reset_received(self, code: ResetCode) -> None:
         """The requester gave up."""
--- a/packages/daemon/src/pearward_daemon/mesh/request_body.py
+++ b/packages/daemon/src/pearward_daemon/mesh/request_body.py
@@ -7,7 +7,7 @@
 
 __all__ = ["FirstPart", "RequestBody"]
 
-REPLAYABLE = COUNTED_BODY
+MAX_REPLAYABLE_BYTES = COUNTED_BODY
 """A request body up to this length is kept, so that it can be sent again; all of it is here when
 its content is worked out."""
 
@@ -28,7 +28,7 @@
 
     def __init__(self, length: int | None) -> None:
         """Begin a body; *length* is None where the caller does not tell it."""
-        self._stated = -1 if length is None else length
+        self._declared_length = -1 if length is None else length
         self._chunks: list[bytes] = []
         self._size = 0
         self._ended = length == 0
@@ -48,12 +48,12 @@
     @property
     def length(self) -> int:
         """Bytes of the whole body; -1 where they are not known yet."""
-        return self._size if self._ended else self._stated
+        return self._size if self._ended else self._declared_length
 
     @property
-    def is_waited_for(self) -> bool:
+    def is_buffering(self) -> bool:
         """Whether it is to be whole before the request goes anywhere."""
-        return not self._ended and max(self._stated, self._size) <= REPLAYABLE
+        return not self._ended and max(self._declared_length, self._size) <= MAX_REPLAYABLE_BYTES
 
     @property
     def kept(self) -> bytes:
@@ -71,7 +71,7 @@
         """All of it has come."""
         self._ended = True
 
-    def passed_on(self) -> None:
+    def streaming_started(self) -> None:
         """What was kept has been sent, and what follows will be: it cannot be sent again."""
         self._chunks = []
 
--- a/packages/daemon/src/pearward_daemon/mesh/routed_request.py
+++ b/packages/daemon/src/pearward_daemon/mesh/routed_request.py
@@ -37,13 +37,13 @@
 
 MS_PER_S = 1000
 BAD_GATEWAY, UNAVAILABLE, GATEWAY_TIMEOUT = 502, 503, 504
-CONNECT_WAIT_S = 0.25
+CONNECT_TIMEOUT_S = 0.25
 """Seconds for a connection to a daemon in the same region; another one is tried after it."""
-RETRY_AFTER_S = 0.1
+DEFAULT_RETRY_AFTER_S = 0.1
 """Seconds after which a caller may come back where nothing better is known."""
-ANSWER_OUT_S = 0.01
+CALLER_MARGIN_S = 0.01
 """The last word goes out this long before the caller stops listening: it is 3 ms away."""
-ANSWER_BACK_S = 0.03
+OWNER_MARGIN_S = 0.03
 """The owner's daemon stops this long before the caller does: it alone knows whether the
 request was still waiting, and its word must be here in time."""
 
@@ -63,12 +63,12 @@
         self._request = request
         self._route = route
         self._intent = intent
-        self._began = boot_time()
+        self._started = boot_time()
         limit_ms = route.timeout_ms
         if intent.deadline_ms is not None:
             limit_ms = min(limit_ms, intent.deadline_ms)
         # Others order their work by the time that is left, and the caller hears nothing later.
-        self._deadline = min(self._began + limit_ms / MS_PER_S, ingress.ends_at)
+        self._deadline = min(self._started + limit_ms / MS_PER_S, ingress.ends_at)
         self._service = ingress.service_for(route)
         self._keyed = intent.key is not None and ingress.is_keyed(self._service)
         self._forwarded = b""
@@ -76,27 +76,27 @@
         self._attempt: LocalAttempt | RemoteAttempt | None = None
         self._placement: Placement | None = None
         self._tally = AttemptTally()
-        age_s = ingress.age_s(route, intent.deadline_ms, self._began)
-        objective = self._began - age_s + route.objective_ms / MS_PER_S
+        age_s = ingress.age_s(route, intent.deadline_ms, self._started)
+        objective = self._started - age_s + route.objective_ms / MS_PER_S
         self._plan = AttemptPlan(
-            RequestTimes(self._began, objective, self._deadline),
+            RequestTimes(self._started, objective, self._deadline),
             route.kind.repeatable,
             self._keyed,
             route.max_attempts,
         )
         self._retry_after_s = 0.0
         self._last_reason: Reason | None = None
-        self._idle_asked: IdleOdds | None = None
+        self._idle_probe: IdleOdds | None = None
         """Told whether the target that was asked first had a place without a queue."""
-        self._admitted = False
+        self._shedding_checked = False
         """Whether it was decided if the request is shed: it counts once for its key."""
-        self._answering = False
+        self._responding = False
         self._caller_paused = False
         self._unconsumed = 0
         """Bytes of the answer that the owner must not replace yet."""
         self._done = False
-        self._timer: Any = None
-        self._wait: Any = None
+        self._deadline_timer: Any = None
+        self._wait_timer: Any = None
 
     # -- properties -------------------------------------------------------------
 
@@ -120,9 +120,9 @@
     def begin(self) -> None:
         """Start, once a short body is whole."""
         self._forwarded = self._ingress.forwarded(self._request, self._intent.request_id)
-        left_s = max(0.0, self._deadline - boot_time() - ANSWER_OUT_S)
-        self._timer = self._ingress.call_later(left_s, self._deadline_passed)
-        if not self._body.is_waited_for:
+        left_s = max(0.0, self._deadline - boot_time() - CALLER_MARGIN_S)
+        self._deadline_timer = self._ingress.call_later(left_s, self._deadline_passed)
+        if not self._body.is_buffering:
             self._next_attempt()
 
     def body_received(self, data: bytes) -> None:
@@ -134,7 +134,7 @@
                 self._request.pause_body()
             return
         self._body.received(data)
-        if not self._body.is_waited_for and self._attempt is None and self._wait is None:
+        if not self._body.is_buffering and self._attempt is None and self._wait_timer is None:
             # Too long to keep: from here on it can be sent only once.
             self._next_attempt()
 
@@ -146,7 +146,7 @@
         if self._plan.sent_on:
             if self._attempt is not None:
                 self._attempt.send_data(b"", ended=True)
-        elif self._attempt is None and self._wait is None:
+        elif self._attempt is None and self._wait_timer is None:
             self._next_attempt()
 
     def caller_lost(self) -> None:
@@ -171,8 +171,8 @@
 
     def _next_attempt(self) -> None:
         """Send the request to the owner of its key, or to the best target."""
-        self._wait = None
-        if self._done or self._caller_has_left() or self._is_quarantined() or self._is_shed():
+        self._wait_timer = None
+        if self._done or self._caller_disconnected() or self._is_quarantined() or self._is_shed():
             return
         placement = self._ingress.place(
             self._service, self._route, self._key, self._plan.excluded,
@@ -191,7 +191,7 @@
         else:
             self._connect(placement)
 
-    def _caller_has_left(self) -> bool:
+    def _caller_disconnected(self) -> bool:
         """Send nothing for a caller that left while this daemon stood still."""
         left = self._request.left
         if left:
@@ -203,24 +203,24 @@
         quarantine = self._ingress.quarantine
         if not quarantine:
             return False
-        left_s = quarantine.left_s(self._content, boot_time())
+        left_s = quarantine.left_s(self._content_digest, boot_time())
         if left_s > 0.0:
-            detail = f"content {self._content}"
+            detail = f"content {self._content_digest}"
             self._give_up(Outcome.NOT_RUN, Reason.QUARANTINED, left_s, detail=detail)
         return left_s > 0.0
 
     def _is_shed(self) -> bool:
         """Refuse a first attempt whose key the owner has turned away too often lately."""
-        if self._key is None or self._admitted:
+        if self._key is None or self._shedding_checked:
             return False
-        self._admitted = True
+        self._shedding_checked = True
         if not self._ingress.sheds(self._service, self._key):
             return False
         self._give_up(Outcome.NOT_RUN, Reason.OVERLOADED, BACK_AFTER_S, detail="key is shed")
         return True
 
     @cached_property
-    def _content(self) -> str:
+    def _content_digest(self) -> str:
         """What is asked for, as the daemon beside the target names it as well."""
         named = self._ingress.named(self._forwarded)
         body = self._body
@@ -229,7 +229,7 @@
         )
 
     @property
-    def _long(self) -> bool:
+    def _is_download(self) -> bool:
         """Whether the answer is long: the link of the target's instance counts as well."""
         return self._route.kind is RequestKind.DOWNLOAD
 
@@ -243,43 +243,43 @@
         drained = self._ingress.is_wholly_drained(self._service)
         if drained or not self._plan.waits_for_owner(boot_time()):
             reason = self._last_reason or Reason.NO_ROUTE
-            self._give_up(Outcome.NOT_RUN, reason, self._retry_after_s or RETRY_AFTER_S)
+            self._give_up(Outcome.NOT_RUN, reason, self._retry_after_s or DEFAULT_RETRY_AFTER_S)
             return
         self._plan.tried.clear()
         self._last_reason = self._last_reason or Reason.NO_ROUTE
-        self._wait = self._ingress.call_later(OWNER_WAIT_S, self._next_attempt)
+        self._wait_timer = self._ingress.call_later(OWNER_WAIT_S, self._next_attempt)
 
     def _connect(self, placement: Placement) -> None:
         """Wait a short while for a connection to another daemon."""
-        waiting = [True]
+        pending = [True]
 
         def connected(connection: PeerConnection) -> None:
-            if waiting:
-                waiting.clear()
-                self._cancel_wait()
+            if pending:
+                pending.clear()
+                self._cancel_wait_timer()
                 if not self._done:
                     self._open_remote(connection, placement)
 
         def failed(failure: Failure) -> None:
             failure.trap(PeerUnreachable)
-            if waiting:
-                waiting.clear()
-                self._cancel_wait()
-                self._not_reached(placement, failure.getErrorMessage())
-
-        def too_long() -> None:
-            self._wait = None
-            if waiting:
-                waiting.clear()
-                self._not_reached(placement, "no connection in time")
-
-        self._wait = self._ingress.call_later(CONNECT_WAIT_S, too_long)
+            if pending:
+                pending.clear()
+                self._cancel_wait_timer()
+                self._target_unreachable(placement, failure.getErrorMessage())
+
+        def timed_out() -> None:
+            self._wait_timer = None
+            if pending:
+                pending.clear()
+                self._target_unreachable(placement, "no connection in time")
+
+        self._wait_timer = self._ingress.call_later(CONNECT_TIMEOUT_S, timed_out)
         self._ingress.connect(placement.address).addCallbacks(connected, failed)
 
-    def _not_reached(self, placement: Placement, detail: str) -> None:
+    def _target_unreachable(self, placement: Placement, detail: str) -> None:
         if self._done:
             return
-        self._ingress.not_reached(placement.target, detail)
+        self._ingress.target_unreachable(placement.target, detail)
         self._failed(Outcome.NOT_RUN, Reason.UNREACHABLE, 0.0, detail)
 
     def _head(self, placement: Placement) -> RequestHead:
@@ -291,8 +291,8 @@
             method=self._request.method,
             path=self._request.uri,
             headers=self._forwarded,
-            deadline_ms=max(1, int((self._deadline - now - ANSWER_BACK_S) * MS_PER_S)),
-            request_class=RequestClass.EXPORT if self._long else RequestClass.INTERACTIVE,
+            deadline_ms=max(1, int((self._deadline - now - OWNER_MARGIN_S) * MS_PER_S)),
+            request_class=RequestClass.EXPORT if self._is_download else RequestClass.INTERACTIVE,
             tenant="",
             repeatable=self._route.kind.repeatable,
             prior_age_ms=0,
@@ -304,37 +304,40 @@
             rank=self._route.rank,
             objective_ms=max(0, int((self._plan.times.objective - now) * MS_PER_S)),
             caller_service=self._ingress.caller_service,
-            last_target=self._long and self._asks_last(placement),
-            idle_only=self._asks_idle(placement),
+            last_target=self._is_download and self._is_last_target(placement),
+            idle_only=self._is_idle_only(placement),
             route=self._route.name,
             sent_ms=int(now * MS_PER_S),
         )
 
-    def _asks_idle(self, placement: Placement) -> bool:
+    def _is_idle_only(self, placement: Placement) -> bool:
         """Return whether the target is passed over if it has no free slot now."""
         odds = None if self._keyed else self._ingress.idle_odds(self._service)
-        if odds is None or self._asks_last(placement) or not odds.worth_asking():
+        if odds is None or self._is_last_target(placement) or not odds.worth_asking():
             return False
-        self._idle_asked = odds
+        self._idle_probe = odds
         return True
 
-    def _idle_told(self, *, found: bool) -> None:
+    def _record_idle_probe(self, *, found: bool) -> None:
         """The target that was asked for a place without a queue has answered."""
-        odds, self._idle_asked = self._idle_asked, None
+        odds, self._idle_probe = self._idle_probe, None
         if odds is not None:
             odds.asked(found=found)
 
-    def _asks_last(self, placement: Placement) -> bool:
+    def _is_last_target(self, placement: Placement) -> bool:
         """Return whether no other target would be asked if this one refuses."""
         others = self._plan.tried | {placement.target}
-        return self._plan.asks_last or not self._ingress.has_other(self._service, others)
+        return self._plan.asks_last or not self._ingress.has_other_target(self._service, others)
 
     def _open_local(self, placement: Placement) -> None:
         self._note_attempt(placement)
         attempt = self._attempt = LocalAttempt(self, self._ingress.window)
         first = self._body.first_part()
         attempt.open(
-            self._ingress.side, self._head(placement), ended=first.ended, body=first.with_head
+            self._ingress.local_target,
+            self._head(placement),
+            ended=first.ended,
+            body=first.with_head,
         )
         self._send_rest(attempt, first.rest)
 
@@ -347,7 +350,7 @@
 
     def _note_attempt(self, placement: Placement) -> None:
         self._tally.begun()
-        placement.begun()
+        placement.attempt_started()
         self._ingress.log.decided(
             "attempt", id=self._id, number=self._tally.number, service=self._service,
             target=placement.target, key=self._key, map=placement.map_version,
@@ -360,20 +363,20 @@
             return
         if not self._body.ended:
             self._plan.sent_on = True
-            self._body.passed_on()
+            self._body.streaming_started()
         if rest:
             attempt.send_data(rest, ended=self._body.ended)
 
     def _cancel_attempt(self) -> None:
-        self._idle_asked = None
+        self._idle_probe = None
         attempt, self._attempt = self._attempt, None
         if attempt is not None:
             attempt.cancel()
-            self._attempt_over()
+            self._release_placement()
 
-    def _attempt_over(self) -> None:
+    def _release_placement(self) -> None:
         if self._placement is not None:
-            self._placement.over()
+            self._placement.attempt_ended()
             self._placement = None
 
     # -- what comes back --------------------------------------------------------------
@@ -383,41 +386,41 @@
         if self._done or self._placement is None:
             return
         if head.load is not None:
-            self._ingress.loaded(self._placement.target, head.load)
-        self._idle_told(found=head.reason is not Reason.OVERLOADED)
+            self._ingress.load_reported(self._placement.target, head.load)
+        self._record_idle_probe(found=head.reason is not Reason.OVERLOADED)
         if head.outcome is not Outcome.SERVED:
             self._refused(head)
             return
         self._note_arrival()
         if self._ingress.quarantine:
-            self._ingress.quarantine.ran(self._content)
+            self._ingress.quarantine.ran(self._content_digest)
         if self._key is not None:
             self._ingress.key_served(self._service, self._key)
-        if self._try_again_after(head):
+        if self._retries_server_error(head):
             return
-        self._ingress.carried(
+        self._ingress.exchange_completed(
             self._route, self._body.size + len(head.headers) + max(0, head.body_length)
         )
         headers = self._ingress.answer_headers(head.headers)
         if ended:
-            self._over()
+            self._end_attempt()
             self._request.answer_whole(head.status, headers, body)
             self._finish("answered", head.status, None)
             return
-        self._answering = True
-        self._cancel_timer()
+        self._responding = True
+        self._cancel_deadline_timer()
         self._request.begin_answer(head.status, headers, head.body_length)
 
     def answer_data(self, data: bytes, ended: bool) -> None:
         """A chunk of the answer."""
-        if self._done or not self._answering:
+        if self._done or not self._responding:
             return
         self._request.answer_chunk(data)
         self._unconsumed += len(data)
         if not self._caller_paused:
             self.resume()
         if ended:
-            self._over()
+            self._end_attempt()
             self._request.end_answer()
             self._finish("answered", 200, None)
 
@@ -426,9 +429,9 @@
         if self._done:
             return
         if self._placement is not None and reason is Reason.CONNECTION_LOST:
-            self._ingress.not_reached(self._placement.target, detail)
-        if self._answering:
-            self._over()
+            self._ingress.target_unreachable(self._placement.target, detail)
+        if self._responding:
+            self._end_attempt()
             self._request.abort_answer()
             self._finish("broken_off", 0, reason, detail)
             return
@@ -438,41 +441,41 @@
         """More of the body may be sent."""
         self._request.resume_body()
 
-    def _over(self) -> None:
+    def _end_attempt(self) -> None:
         """The attempt is finished: expect nothing more of it."""
         attempt, self._attempt = self._attempt, None
         if attempt is not None:
             attempt.detach()
-        self._attempt_over()
+        self._release_placement()
 
     def _refused(self, head: ResponseHead) -> None:
         """The owner's daemon, or the target, turned the request down or failed."""
         assert self._placement is not None
         reason = head.reason or Reason.SERVER_FAILED
-        self._ingress.learned(self._service, head.version, self._placement)
+        self._ingress.map_version_seen(self._service, head.version, self._placement)
         if reason is Reason.DRAINING:
             self._ingress.directory.refused(self._placement.target)
         if reason is Reason.OVERLOADED and self._key is not None:
             self._ingress.key_refused(self._service, self._key)
         self._failed(head.outcome, reason, head.retry_after_ms / MS_PER_S, head.detail)
 
-    def _try_again_after(self, head: ResponseHead) -> bool:
+    def _retries_server_error(self, head: ResponseHead) -> bool:
         """Ask once more where the target's own failure may be another one's success."""
         assert self._placement is not None
         if head.status < 500:
-            self._ingress.answered_well(self._placement.target)
+            self._ingress.target_succeeded(self._placement.target)
             return False
-        self._ingress.failed_at(self._placement.target)
+        self._ingress.target_failed(self._placement.target)
         target = self._placement.target
         if not self._route.kind.repeatable:
             return False
         if self._plan.repeat(target, boot_time()) is not NextStep.REPEAT:
             return False
-        if not self._keyed and not self._ingress.has_other(self._service, self._plan.tried):
+        if not self._keyed and not self._ingress.has_other_target(self._service, self._plan.tried):
             return False
         if not self._ingress.take_repeat(self._service):
             return False
-        self._over()
+        self._end_attempt()
         self._tally.failed(Outcome.UNKNOWN, Reason.TARGET_FAILED)
         self._next_attempt()
         return True
@@ -482,11 +485,11 @@
     def _failed(self, outcome: Outcome, reason: Reason, retry_after_s: float, detail: str) -> None:
         """An attempt brought no answer: try another, or tell the caller."""
         target = self._placement.target if self._placement is not None else ""
-        self._over()
+        self._end_attempt()
         self._tally.failed(outcome, reason)
         self._last_reason = reason
         self._retry_after_s = retry_after_s
-        again = self._goes_on(outcome, reason, target)
+        again = self._should_retry(outcome, reason, target)
         self._ingress.log.decided(
             "attempt_failed", failure=True, id=self._id, target=target, outcome=outcome.value,
             reason=reason.value, detail=detail, again=again,
@@ -497,14 +500,14 @@
             status = GATEWAY_TIMEOUT if late else BAD_GATEWAY
             self._give_up(outcome, reason, retry_after_s, status)
         elif self._keyed:
-            self._wait = self._ingress.call_later(OWNER_WAIT_S, self._next_attempt)
+            self._wait_timer = self._ingress.call_later(OWNER_WAIT_S, self._next_attempt)
         else:
             self._next_attempt()
 
-    def _goes_on(self, outcome: Outcome, reason: Reason, target: str) -> bool:
+    def _should_retry(self, outcome: Outcome, reason: Reason, target: str) -> bool:
         """Decide whether the request is sent again, and take from the budget if it is."""
         if outcome is not Outcome.NOT_RUN:
-            self._ingress.failed_at(target)
+            self._ingress.target_failed(target)
         if outcome is not Outcome.NOT_RUN or reason is Reason.TARGET_REFUSED:
             self._note_arrival()
         step = self._plan.after_failure(outcome, reason, target, boot_time())
@@ -515,19 +518,19 @@
     def _note_arrival(self) -> None:
         """A target has received the request; the first time it counts for the budget."""
         if self._plan.arrived():
-            self._ingress.arrived(self._service)
+            self._ingress.count_arrival(self._service)
 
-    def daemon_ends(self) -> None:
+    def daemon_stopping(self) -> None:
         """This daemon ends now: a caller that has no answer yet is told so."""
-        if not self._answering:
-            self._out_of_time(Reason.DRAINING)
+        if not self._responding:
+            self._end_unanswered(Reason.DRAINING)
 
     def _deadline_passed(self) -> None:
         """The caller, or the route, allows no more time."""
-        self._timer = None
-        self._out_of_time(Reason.DEADLINE)
+        self._deadline_timer = None
+        self._end_unanswered(Reason.DEADLINE)
 
-    def _out_of_time(self, reason: Reason) -> None:
+    def _end_unanswered(self, reason: Reason) -> None:
         if self._done:
             return
         unknown = self._attempt is not None
@@ -535,7 +538,7 @@
             self._ingress.key_refused(self._service, self._key)
         self._cancel_attempt()
         outcome = Outcome.UNKNOWN if unknown else Outcome.NOT_RUN
-        self._give_up(outcome, reason, RETRY_AFTER_S, GATEWAY_TIMEOUT)
+        self._give_up(outcome, reason, DEFAULT_RETRY_AFTER_S, GATEWAY_TIMEOUT)
 
     def _give_up(
         self,
@@ -561,24 +564,24 @@
     def _id(self) -> str:
         return self._intent.request_id.decode("latin-1")
 
-    def _cancel_timer(self) -> None:
-        timer, self._timer = self._timer, None
+    def _cancel_deadline_timer(self) -> None:
+        timer, self._deadline_timer = self._deadline_timer, None
         if timer is not None and timer.active():
             timer.cancel()
 
-    def _cancel_wait(self) -> None:
-        wait, self._wait = self._wait, None
+    def _cancel_wait_timer(self) -> None:
+        wait, self._wait_timer = self._wait_timer, None
         if wait is not None and wait.active():
             wait.cancel()
 
     def _finish(self, how: str, status: int, reason: Reason | None, detail: str = "") -> None:
         self._done = True
-        self._cancel_timer()
-        self._cancel_wait()
-        self._ingress.ended(self, how, status, boot_time() - self._began)
+        self._cancel_deadline_timer()
+        self._cancel_wait_timer()
+        self._ingress.request_finished(self, how, status, boot_time() - self._started)
         self._ingress.log.decided(
             how, failure=how != "answered", id=self._id, route=self._route.name,
             service=self._service, status=status, reason=reason.value if reason else "",
             detail=detail, attempts=self._tally.number,
-            ms=round((boot_time() - self._began) * MS_PER_S),
+            ms=round((boot_time() - self._started) * MS_PER_S),
         )  # fmt: skip
--- a/packages/daemon/src/pearward_daemon/mesh/settings.py
+++ b/packages/daemon/src/pearward_daemon/mesh/settings.py
@@ -24,7 +24,7 @@
 KEEP_INTERVAL_S = 0.95
 """Seconds between renewals: two may be lost before the entry goes, and the store
 serves the whole fleet."""
-SILENT_S = 2.2
+REPORT_TIMEOUT_S = 2.2
 """Seconds without a report after which an owner loses its keys: a daemon that was killed
 reports again after 1.6 s."""
 LINK_MBIT_PER_S = 1000.0
@@ -148,7 +148,7 @@
             store=_store(root.section("store")),
             grant_way=root.choice("grants", GrantWay, GrantWay.HEARTBEAT),
             holds=_holds(root.section("holds")),
-            silent_s=limits.number("silent_ms", SILENT_S * 1000, low=500) / 1000,
+            silent_s=limits.number("silent_ms", REPORT_TIMEOUT_S * 1000, low=500) / 1000,
             retries=_retries(root.section("retries")),
             overload=_overload(root.section("overload")),
             quarantine=_quarantine(root.section("quarantine")),
--- a/packages/daemon/src/pearward_daemon/mesh/store_session.py
+++ b/packages/daemon/src/pearward_daemon/mesh/store_session.py
@@ -39,13 +39,13 @@
 
 __all__ = ["SessionListener", "StoreSession"]
 
-WATCH_S = 29.0
+WATCH_TIMEOUT_S = 29.0
 """Seconds that one call waits for changes: the store allows 30, and each call is one of all that
 it can take."""
-GATHER_S = 0.25
+BATCH_DELAY_S = 0.25
 """Seconds after a change before the next call, so that changes in a row cost one."""
 FIRST_RETRY_S = 0.1
-LAST_RETRY_S = 0.8
+MAX_RETRY_S = 0.8
 """Pauses after a failed call double up to this: what lapsed is to be back within 2 s."""
 
 
@@ -82,7 +82,7 @@
     def key_maps_read(self, key_maps: list[KeyMap], era: int) -> None:
         """The key maps of all services were read, in an era of the store."""
 
-    def store_answers(self, since: float | None) -> None:
+    def store_availability_changed(self, since: float | None) -> None:
         """The store has answered since then; None: it does not."""
 
     def former_targets(self, targets: list[str]) -> None:
@@ -108,14 +108,14 @@
         self._listener = listener
         self._feed = feed
         self._crashes = CrashEntries(reactor, store, log, settings.quarantine.lasts_s, self._run)
-        self._own = OwnEntry(settings.instance, store, log, self._run, self._failed)
+        self._own_entry = OwnEntry(settings.instance, store, log, self._run, self._call_failed)
         self._lease = 0
         self._available = True
         self._stopped = False
-        self._round = 0
+        self._watch_generation = 0
         self._era: int | None = None
         """The era of the store as it was last seen; None before the first answer."""
-        self._returns = 0
+        self._rollbacks = 0
 
     # -- properties -------------------------------------------------------------
 
@@ -130,34 +130,34 @@
         return self._available
 
     @property
-    def store_returns(self) -> int:
+    def store_rollbacks(self) -> int:
         """How often the store came back from an older copy in this daemon's life."""
-        return self._returns
+        return self._rollbacks
 
     @property
     def registered(self) -> bool:
         """Whether this daemon's entry surely stands in the store."""
-        return self._available and bool(self._lease) and self._own.is_written
+        return self._available and bool(self._lease) and self._own_entry.is_written
 
     # -- life --------------------------------------------------------------------
 
     def start(self) -> None:
         """Begin all loops."""
-        self._listener.store_answers(boot_time())
+        self._listener.store_availability_changed(boot_time())
         self._run(self._keep_lease())
         self._start_watches()
 
     def stop(self, *, keep_entry: bool) -> "Deferred[None]":
         """End the loops and, unless the entry is kept, the lease, so that it goes at once."""
         self._stopped = True
-        self._own.stop()
+        self._own_entry.stop()
         if keep_entry:
             return succeed(None)
         return Deferred.fromCoroutine(self._end_lease())
 
     def publish(self, member: Member | None, keyed: bool) -> None:
         """Write *member* as this daemon's entry; None keeps what is there."""
-        self._own.publish(member, keyed)
+        self._own_entry.publish(member, keyed)
 
     def record_crash(self, record: CrashRecord) -> None:
         """Write what a target was running when it crashed, so that it outlasts this daemon."""
@@ -175,7 +175,7 @@
         if not self._lease:
             return
         lease, self._lease = self._lease, 0
-        self._own.lease_gone()
+        self._own_entry.lease_gone()
         try:
             await self._store.revoke(lease)
         except PlatformError as error:
@@ -191,31 +191,31 @@
                 if self._lease:
                     await self._renew()
                 else:
-                    await self._begin_lease()
-                self._answered()
+                    await self._create_lease()
+                self._call_succeeded()
             except PlatformError as error:
-                self._failed(error)
+                self._call_failed(error)
             if self._lease:
                 retry_s = FIRST_RETRY_S
                 pause_s = self._settings.store.keep_interval_s - (boot_time() - began)
                 await sleep(self._reactor, max(FIRST_RETRY_S, pause_s))
             else:
                 await sleep(self._reactor, retry_s)
-                retry_s = min(LAST_RETRY_S, retry_s * 2)
+                retry_s = min(MAX_RETRY_S, retry_s * 2)
 
     async def _renew(self) -> None:
         lease = self._lease
         if not await self._store.keep_alive(lease):
             self._log.decided("lease_lost", failure=True, lease=lease)
             self._lease = 0
-            self._own.lease_gone()
+            self._own_entry.lease_gone()
             return
-        await self._own.write()
+        await self._own_entry.write()
 
-    async def _begin_lease(self) -> None:
+    async def _create_lease(self) -> None:
         self._lease = await self._store.grant_lease(self._settings.store.lease_ttl_s)
         self._log.decided("lease_begun", lease=self._lease)
-        await self._own.under_lease(self._lease)
+        await self._own_entry.under_lease(self._lease)
 
     # -- entries ------------------------------------------------------------------------
 
@@ -240,12 +240,14 @@
         return result
 
     def _decoded_members(self, items: Iterable[KeyValue]) -> list[Member]:
-        return self._decoded_own(items, decode_member, lambda member: member_key(member.instance))
+        return self._decoded_with_key(
+            items, decode_member, lambda member: member_key(member.instance)
+        )
 
     def _decoded_crashes(self, items: Iterable[KeyValue]) -> list[CrashRecord]:
-        return self._decoded_own(items, decode_crash, lambda record: crash_key(record.target))
+        return self._decoded_with_key(items, decode_crash, lambda record: crash_key(record.target))
 
-    def _decoded_own(
+    def _decoded_with_key(
         self, items: Iterable[KeyValue], decode: Callable[[bytes], _T], key_of: Callable[[_T], str]
     ) -> list[_T]:
         """Decode entries that tell whose they are; one under another one's key is nobody's."""
@@ -266,9 +268,9 @@
 
     def _start_watches(self) -> None:
         """Begin the watches, or begin them anew: older rounds end by themselves."""
-        self._round += 1
-        self._run(self._follow_operators(self._round))
-        self._run(self._follow_members(self._round))
+        self._watch_generation += 1
+        self._run(self._follow_operators(self._watch_generation))
+        self._run(self._follow_members(self._watch_generation))
 
     async def _follow_operators(self, number: int) -> None:
         """Follow the configuration and the drains by one watch: both cost the same calls."""
@@ -289,7 +291,7 @@
                 self._listener.configuration_read(event.value)
 
         await self._follow(
-            number, read, self._store.operator_changes, changed, lambda: GATHER_S,
+            number, read, self._store.operator_changes, changed, lambda: BATCH_DELAY_S,
             self._listener.drains_complete_to,
         )  # fmt: skip
 
@@ -302,11 +304,11 @@
             self._listener.crashes_read(self._decoded_crashes(crashes))
             members = [i for i in followed if not i.key.startswith(CRASHES)]
             self._listener.members_read(self._decoded_members(members))
-            own = next((item for item in members if item.key == self._own.key), None)
+            own = next((item for item in members if item.key == self._own_entry.key), None)
             if own is None:
-                self._own.gone()
+                self._own_entry.gone()
             else:
-                self._own.seen(own)
+                self._own_entry.seen(own)
             maps = [i for i in snapshot.items if i.key.startswith(KEY_MAPS)]
             key_maps = self._decoded(maps, decode_key_map)
             self._log.decided(
@@ -315,7 +317,7 @@
             )  # fmt: skip
             self._listener.key_maps_read(key_maps, self._store.era)
             self._note_former_targets(snapshot.items)
-            self._feed.began(snapshot.revision)
+            self._feed.entries_read(snapshot.revision)
             return snapshot.revision
 
         def changed(event: WatchEvent) -> None:
@@ -324,17 +326,22 @@
                 return
             if event.value is None:
                 self._listener.member_gone(event.key.removeprefix(MEMBERS))
-                if event.key == self._own.key:
-                    self._own.gone()
+                if event.key == self._own_entry.key:
+                    self._own_entry.gone()
                 return
             item = KeyValue(event.key, event.value, event.revision)
-            if item.key == self._own.key and self._own.seen(item):
+            if item.key == self._own_entry.key and self._own_entry.seen(item):
                 return
             for member in self._decoded_members([item]):
                 self._listener.member_written(member)
 
         await self._follow(
-            number, read, self._feed.changes, changed, self._gather_members_s, persists=True
+            number,
+            read,
+            self._feed.changes,
+            changed,
+            self._members_batch_delay_s,
+            fed_by_peers=True,
         )
 
     def _crash_changed(self, event: WatchEvent) -> None:
@@ -343,9 +350,9 @@
             item = KeyValue(event.key, event.value, event.revision)
             self._listener.crashes_read(self._decoded_crashes([item]))
 
-    def _gather_members_s(self) -> float:
+    def _members_batch_delay_s(self) -> float:
         """Return how long a watcher lets changes add up; the others are told what it knows."""
-        return GATHER_S if self._feed.is_watcher else 0.0
+        return BATCH_DELAY_S if self._feed.is_watcher else 0.0
 
     async def _follow(
         self,
@@ -353,51 +360,51 @@
         read: Callable[[], Awaitable[int]],
         wait: Callable[[int, float], Awaitable[Changes]],
         changed: Callable[[WatchEvent], None],
-        gather: Callable[[], float],
+        batch_delay: Callable[[], float],
         complete_to: Callable[[int], None] = lambda revision: None,
         *,
-        persists: bool = False,
+        fed_by_peers: bool = False,
     ) -> None:
         """Read once, then take changes as they come; read again after a gap.
 
-        *gather* tells for how many seconds changes are left to add up before the next call,
-        *complete_to* takes the revision up to which all changes have been taken. With *persists*
-        changes can be heard of from others while the store does not answer.
+        *batch_delay* tells for how many seconds changes are left to add up before the next call,
+        *complete_to* receives the revision up to which all changes have been processed. With
+        *fed_by_peers*, changes can arrive from other daemons while the store is unavailable.
         """
         after: int | None = None
         retry_s = FIRST_RETRY_S
-        while not self._stopped and number == self._round:
+        while not self._stopped and number == self._watch_generation:
             try:
                 if after is None:
                     after = await read()
-                    self._note_era()
-                changes = await wait(after, WATCH_S)
-                self._note_era()
-                if number != self._round:
+                    self._check_era()
+                changes = await wait(after, WATCH_TIMEOUT_S)
+                self._check_era()
+                if number != self._watch_generation:
                     return
                 for event in changes.events:
                     changed(event)
                 after = max(after, changes.revision)
                 complete_to(after)
                 retry_s = FIRST_RETRY_S
-                await sleep(self._reactor, gather() if changes.events else 0.0)
+                await sleep(self._reactor, batch_delay() if changes.events else 0.0)
             except HistoryGone:
                 self._log.decided("store_history_gone", after=after)
-                self._note_era()
+                self._check_era()
                 after = None
             except PlatformError as error:
                 # Something may have been missed where a watch was cut: the store tells
                 # by HistoryGone if it has forgotten what came since.
                 self._log.decided("watch_cut", after=after, error=str(error))
-                if not self._available and not (persists and after is not None):
+                if not self._available and not (fed_by_peers and after is not None):
                     # The lease is asked for all the time; with its answer this begins anew.
                     return
                 await sleep(self._reactor, retry_s)
-                retry_s = min(LAST_RETRY_S, retry_s * 2)
+                retry_s = min(MAX_RETRY_S, retry_s * 2)
 
     # -- availability ---------------------------------------------------------------------
 
-    def _note_era(self) -> None:
+    def _check_era(self) -> None:
         """Write all that is this daemon's again when the store has come back from an older copy.
 
         The store has lost what was acknowledged in the last seconds, and tells nobody what.
@@ -410,9 +417,9 @@
             return
         # Numbers of leases may be given out again: it might be another daemon's now.
         self._lease = 0
-        self._own.store_went_back()
+        self._own_entry.store_went_back()
         crashes = self._crashes.store_went_back()
-        self._returns += 1
+        self._rollbacks += 1
         self._log.decided(
             "store_went_back", failure=True, era=self._era, before=before,
             crashes_written=crashes,
@@ -420,19 +427,19 @@
         # What was followed is read anew: the entries there are older ones, some are gone.
         self._start_watches()
 
-    def _answered(self) -> None:
-        self._note_era()
+    def _call_succeeded(self) -> None:
+        self._check_era()
         if not self._available:
             self._available = True
-            self._feed.store_answers(True)
+            self._feed.set_store_available(True)
             self._log.decided("store_regained", lease=self._lease)
-            self._listener.store_answers(boot_time())
+            self._listener.store_availability_changed(boot_time())
             # Watches that were cut without a word would go on waiting.
             self._start_watches()
 
-    def _failed(self, error: PlatformError) -> None:
+    def _call_failed(self, error: PlatformError) -> None:
         if self._available:
             self._available = False
-            self._feed.store_answers(False)
+            self._feed.set_store_available(False)
             self._log.decided("store_lost", failure=True, error=str(error))
-            self._listener.store_answers(None)
+            self._listener.store_availability_changed(None)
