--- a/packages/daemon/src/pearward_daemon/mesh/dialect.py
+++ b/packages/daemon/src/pearward_daemon/mesh/dialect.py
@@ -1,7 +1,7 @@
-"""What the daemon needs of a platform's way of speaking: the words are the adapter's.
+"""Interfaces and types that a platform's adapter implements for the daemon.
 
-Callers, targets and daemons mean the same by these types whatever headers and documents
-carry them; everything that decides works on them alone.
+The types are independent of the headers and documents that carry their values on a platform;
+all decisions are made on these types alone.
 """
 
 from dataclasses import dataclass
@@ -31,153 +31,153 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerIntent:
-    """What a caller's headers say of its request."""
+    """The metadata of a request, from the caller's headers."""
 
     request_id: bytes
     host: str
     deadline_ms: int | None
-    """Milliseconds that the caller waits; None where it does not say."""
+    """Milliseconds that the caller waits; None if not stated."""
     key: int | None
-    """Key of the request; None where it has none."""
+    """Key of the request; None if it has none."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReportedLoad:
-    """What a target says of its own load; told for operators, trusted for nothing."""
+    """The load that a target reports; shown to operators, not used for decisions."""
 
     running: int
     waiting: int
     slots: int
     slowness: float | None
-    """Time that work takes there now, over its usual time; None where it is not told."""
+    """Present time of the target's work over its usual time; None if not reported."""
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerFacts:
-    """What a target's answer says beside its status and body."""
+    """The metadata of a target's response, from its headers."""
 
     request_id: bytes
     not_run: bool
-    """The target says that it did not run the request."""
+    """The target states that it did not run the request."""
     other_target: bool
-    """Another incarnation has the address, or the key is not the target's."""
+    """Another incarnation has the address, or the target does not own the key."""
     signed: bool
     encoded: bool
-    """The body was encoded on the way: it is not the target's own."""
+    """The body was encoded in transit, so that it is not as the target sent it."""
     load: ReportedLoad | None
 
 
 @dataclass(frozen=True, slots=True)
 class TargetBeat:
-    """A heartbeat of the target beside this daemon."""
+    """A heartbeat of the local target."""
 
     target: str
-    """Id of the target, which a later life of it may have as well."""
+    """Id of the target, which a later incarnation may have as well."""
     service: str
     address: str
     failure_domain: str
     slots: int
     state: TargetState
     cold_s: float
-    """Seconds for which the target, newly started, stays slow."""
+    """Remaining seconds in which the target, newly started, is slow."""
     sequence: int
-    """Rises with each call of one incarnation; a late one has a lower number."""
+    """Increases with each heartbeat of one incarnation; a delayed one has a lower number."""
     held: tuple[HeldRow, ...]
     released: tuple[ReleasedRow, ...]
     born_ms: int | None = None
-    """Unix time in ms at which the target's process started; None where it does not say."""
+    """Unix time in ms at which the target's process started; None if not stated."""
 
 
 @dataclass(frozen=True, slots=True)
 class TargetLeave:
-    """The target beside this daemon says that it leaves, now or in a moment."""
+    """Announcement of the local target that it stops, now or shortly."""
 
     target: str
-    """Id of the target, without its life."""
+    """Id of the target, without its incarnation."""
 
 
 @dataclass(frozen=True, slots=True)
 class BeatAnswer:
-    """What a target is told: all that it is to hold, or nothing about that."""
+    """The response to a heartbeat, with all keys that the target is to hold, or without any."""
 
     rows: tuple[GrantedRow, ...] | None = None
-    """None renews nothing; what a row list leaves out, the target lets go."""
+    """Granted key ranges; the target releases all others. None renews nothing."""
     hold_s: float = 0.0
 
 
 class GrantVerdict(Enum):
-    """What became of a grant that was made by a call."""
+    """The result of a grant that was made by a call."""
 
     TAKEN = "taken"
     NEWER_SEEN = "newer seen"
-    """The target has seen a higher fence on one of the keys: nothing was granted."""
+    """The target has seen a higher fence on one of the keys; nothing was granted."""
     MALFORMED = "malformed"
-    """The target could not read the call: nothing was granted."""
+    """The target could not parse the call; nothing was granted."""
     NOT_SENT = "not sent"
-    """There was no connection: nothing was granted."""
+    """There was no connection; nothing was granted."""
     UNANSWERED = "unanswered"
-    """The grant may have been taken, or may be taken later."""
+    """The grant may have been accepted, or may be accepted later."""
 
 
 @dataclass(frozen=True, slots=True)
 class GrantReply:
-    """The target's answer to a grant, or what stood in its place."""
+    """The target's reply to a grant, or the reason why there is none."""
 
     verdict: GrantVerdict
     detail: str = ""
     other_target: bool = False
-    """Whether another incarnation than the one that was meant answered."""
+    """Whether another incarnation than the intended one replied."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReleaseReply:
-    """The target's answer to a call that took keys back."""
+    """The target's reply to a call that revokes keys."""
 
     released: bool
-    """Whether the target holds the keys no longer and nothing runs on them."""
+    """Whether the target no longer holds the keys and no request runs on them."""
     token: str = ""
-    """Hands the keys' warm state over to their next holder."""
+    """Handoff token by which the next holder gets the keys' warm state."""
     detail: str = ""
-    """Why the keys are not known to be released."""
+    """The reason why the keys are not known to be released."""
 
 
 class GrantPort(Protocol):
-    """Calls that give keys to the target beside this daemon and take them back."""
+    """Calls that grant keys to the local target and revoke them."""
 
     @property
     def attached(self) -> bool:
-        """Whether the target's process that `attach` found runs still."""
+        """Whether the process that `attach` found still runs."""
 
     def attach(self) -> "Deferred[None]":
-        """Note the process that is there now; fails with ServerUnreachable where none is."""
+        """Connect to the target's present process; fails with ServerUnreachable."""
 
     def grant(
         self, target: str, row: GrantedRow, hold_s: float, send_by: float
     ) -> "Deferred[GrantReply]":
-        """Give keys, or renew them, to the process that `attach` found; never fails.
+        """Grant keys to the process that `attach` found, or renew them; never fails.
 
-        The hold of *hold_s* seconds runs from the arrival: a call that is not with the kernel at
-        *send_by*, a time in s, is not sent.
+        The hold of *hold_s* seconds starts on arrival, so a call that was not written to the
+        socket by *send_by*, a time in s, is not sent.
         """
 
     def release(self, target: str, row: HeldRow) -> "Deferred[ReleaseReply]":
-        """Take keys back; answered when what ran on them has ended; never fails."""
+        """Revoke keys; fires once all requests on them have ended; never fails."""
 
     def close(self) -> None:
-        """The target has ended: drop the connections to it."""
+        """Close the connections to the target, as it has ended."""
 
 
 class Dialect(Protocol):
-    """One way of speaking HTTP with callers and targets."""
+    """A platform's conventions for HTTP with callers and targets, and its documents."""
 
     def intent(self, headers: dict[bytes, bytes]) -> CallerIntent:
-        """Read a caller's headers; raises BadHeader."""
+        """Parse a caller's headers; raises BadHeader."""
 
     def forwarded(self, headers: list[tuple[bytes, list[bytes]]], request_id: bytes) -> bytes:
-        """Return the header lines that are passed on to the target."""
+        """Return the header lines that are forwarded to the target."""
 
     def named(self, forwarded: bytes) -> bytes:
-        """Return what forwarded header lines add to the path, to say what a request asks for."""
+        """Return the part of forwarded header lines that, with the path, identifies the content."""
 
     def target_headers(
         self, forwarded: bytes, target: str, caller_service: str, left_ms: int
@@ -185,16 +185,16 @@
         """Return the header lines of a request to a target."""
 
     def answer_facts(self, headers: bytes) -> AnswerFacts:
-        """Read a target's answer's headers."""
+        """Parse the headers of a target's response."""
 
     def answer_headers(self, headers: bytes) -> bytes:
-        """Return the header lines of a target's answer that go back to the caller."""
+        """Return the header lines of a target's response that are forwarded to the caller."""
 
     def refusal_headers(self, request_id: bytes, retry_after_s: float) -> bytes:
-        """Return the header lines of an answer that pearward makes itself."""
+        """Return the header lines of a response that pearward generates itself."""
 
     def configuration(self, document: bytes) -> RoutingTable:
-        """Read a configuration document; raises InvalidRecord, naming what is wrong."""
+        """Parse a configuration document; raises InvalidRecord that names the fault."""
 
     def check_drain(self, entry: bytes) -> None:
-        """Check an entry that drains a failure domain; raises InvalidRecord."""
+        """Validate an entry that drains a failure domain; raises InvalidRecord."""
--- a/packages/daemon/src/pearward_daemon/mesh/ingress.py
+++ b/packages/daemon/src/pearward_daemon/mesh/ingress.py
@@ -1,4 +1,4 @@
-"""The callers' side: routes, targets to choose from, and what all requests share."""
+"""Ingress for callers' requests: routing, target selection and state shared by all requests."""
 
 import math
 from collections.abc import Callable
@@ -37,20 +37,20 @@
 __all__ = ["MeshIngress", "Placement", "RequestMetrics"]
 
 WINDOW = 128 * 1024
-"""Bytes of one stream that may be under way between two daemons."""
+"""Flow control window in bytes of one stream between two daemons."""
 BAD_REQUEST, NOT_FOUND, TOO_LARGE, UNAVAILABLE = 400, 404, 413, 503
 BYTES_PER_KB = 1000
 MS_PER_S = 1000
 SIZE_WEIGHT = 0.05
-"""Weight of the newest exchange in the mean size of a route's exchanges."""
+"""Weight of the newest exchange in the moving mean of a route's exchange sizes."""
 NO_CONFIGURATION_RETRY_S = 0.5
 
 
 class RequestMetrics(Protocol):
-    """Takes what is counted of requests."""
+    """Receives the metrics of finished requests."""
 
     def request_ended(self, route: str, service: str, how: str, took_s: float) -> None:
-        """Count a caller's request that ended."""
+        """Record a finished request, its outcome and its duration."""
 
 
 class Placement:
@@ -68,39 +68,39 @@
         self.map_version = map_version
 
     def attempt_started(self) -> None:
-        """Count the attempt as under way."""
+        """Count the attempt as in flight."""
         view = self._directory.view(self.target)
         if view is not None:
             view.in_flight += 1
 
     def attempt_ended(self) -> None:
-        """Stop counting the attempt."""
+        """Stop counting the attempt as in flight."""
         view = self._directory.view(self.target)
         if view is not None:
             view.in_flight = max(0, view.in_flight - 1)
 
 
 class _DiscardedBody:
-    """Takes the rest of a request that was answered at once."""
+    """Discards the body of a request that was answered at once."""
 
     def body_received(self, data: bytes) -> None:
-        """Nobody needs it."""
+        """Discard the chunk."""
 
     def body_ended(self) -> None:
-        """Nobody needs it."""
+        """Do nothing, as the request was answered."""
 
     def caller_lost(self) -> None:
-        """The answer was sent."""
+        """Do nothing, as the request was answered."""
 
     def resume(self) -> None:
-        """The answer was sent whole."""
+        """Do nothing, as the whole response was sent."""
 
     def pause(self) -> None:
-        """The answer was sent whole."""
+        """Do nothing, as the whole response was sent."""
 
 
 class MeshIngress:
-    """All requests of the callers on this instance."""
+    """Accepts and routes all requests of the callers on this instance."""
 
     def __init__(
         self,
@@ -131,16 +131,16 @@
         self._turns: dict[tuple[str, tuple[Any, ...]], WeightedTurns] = {}
         self._budgets: dict[str, RetryWindow] = {}
         self._mean_size_kb: dict[str, float] = {}
-        """Mean size of a request and its answer, by route."""
+        """Mean size of a request and its response, by route."""
         self._usual_deadlines: dict[str, UsualDeadline] = {}
-        """Time that callers usually allow for their first try, by route."""
+        """Time that callers usually allow for their first attempt, by route."""
         self._idle_odds: dict[str, IdleOdds] = {}
         self._shedding = KeyShedding(rng)
         self._sheds = settings.overload.uses(Mechanism.SHED_KEYS)
         self._open: set[RoutedRequest] = set()
         self._stopping = False
         self._ends_at = math.inf
-        """Time in s at which this daemon ends; nothing reaches a caller from then on."""
+        """Time in s at which this daemon ends; no response reaches a caller after it."""
         self._refusal_retry_s = 0.0
         self.directory = directory
         self.quarantine = quarantine
@@ -151,26 +151,26 @@
 
     @property
     def open_requests(self) -> int:
-        """Callers' requests that are not answered yet."""
+        """Number of callers' requests without a complete response."""
         return len(self._open)
 
     @property
     def ends_at(self) -> float:
-        """Time in s at which this daemon ends; infinite until it is told to stop."""
+        """Time in s at which this daemon ends; infinite until it is stopped."""
         return self._ends_at
 
     @property
     def caller_service(self) -> str:
-        """Service on whose instance the requests begin."""
+        """Service of the instance on which the callers run."""
         return self._settings.service
 
     @property
     def window(self) -> int:
-        """Bytes that may be under way to the target beside this daemon."""
+        """Flow control window in bytes towards the local target."""
         return WINDOW
 
     def set_table(self, table: RoutingTable) -> None:
-        """Put a newer configuration in force; routes that did not change keep their turns."""
+        """Put a newer configuration in force; unchanged routes keep their round robin state."""
         self._table = table
         names = {route.name for route in table.routes}
         self._usual_deadlines = {
@@ -181,24 +181,24 @@
         self._turns = {key: turns for key, turns in self._turns.items() if key in present}
 
     def stop(self, ends_at: float) -> None:
-        """Let callers' connections end with their next answer, and requests by *ends_at*."""
+        """Close callers' connections after their next response, and end requests by *ends_at*."""
         self._stopping = True
         self._ends_at = ends_at
 
     def refuse_new(self, retry_after_s: float) -> None:
-        """Turn new requests away from now on, to come back after some seconds."""
+        """Refuse new requests from now on, with a retry delay of *retry_after_s* seconds."""
         self._refusal_retry_s = retry_after_s
 
     def cancel_open(self) -> int:
-        """Tell callers without an answer that there will be none; return how many are cut."""
+        """Refuse requests without a response; return the number of responses that are cut off."""
         for routed in list(self._open):
             routed.daemon_stopping()
         return len(self._open)
 
-    # -- requests ---------------------------------------------------------------------
+    # -- new requests -----------------------------------------------------------------
 
     def request_begun(self, request: CallerRequest, body_length: int | None) -> BodySink:
-        """Take a request whose headers are in."""
+        """Accept a request whose headers have been received."""
         if self._stopping:
             request.close_after()
         try:
@@ -235,7 +235,7 @@
         detail: str,
         retry_after_s: float = 0.0,
     ) -> BodySink:
-        """Answer at once, without any target."""
+        """Refuse a request at once, without an attempt."""
         headers = self._dialect.refusal_headers(request_id, retry_after_s)
         self.log.decided(
             "refused_at_once", failure=True, id=request_id.decode("latin-1"), status=status,
@@ -247,19 +247,19 @@
     def request_finished(
         self, request: RoutedRequest, how: str, status: int, took_s: float
     ) -> None:
-        """A request was answered, or its caller has left."""
+        """Record a request that was answered or whose caller has disconnected."""
         self._open.discard(request)
         outcome = how if status < 500 or how != "answered" else "target_failed"
         self._metrics.request_ended(request.route.name, request.service, outcome, took_s)
 
-    # -- what requests ask ----------------------------------------------------------
+    # -- queries of requests --------------------------------------------------------
 
     def call_later(self, delay_s: float, call: Callable[[], None]) -> Any:
         """Run *call* after *delay_s* seconds."""
         return self._reactor.callLater(delay_s, call)
 
     def service_for(self, route: Route) -> str:
-        """Return the service that a route's next request goes to."""
+        """Return the service for the next request of a route, by weighted round robin."""
         if len(route.services) == 1:
             return route.services[0].service
         key = (route.name, route.services)
@@ -269,14 +269,14 @@
         return turns.next()
 
     def age_s(self, route: Route, deadline_ms: int | None, now: float) -> float:
-        """Return the seconds since a caller's first try, by what it still allows."""
+        """Return the estimated seconds since a caller's first attempt, by the time it allows."""
         if deadline_ms is None or not self._settings.overload.uses(Mechanism.AGED_RETURNS):
             return 0.0
         usual = self._usual_deadlines.setdefault(route.name, UsualDeadline())
         return usual.age_s(deadline_ms / MS_PER_S, now)
 
     def is_keyed(self, service: str) -> bool:
-        """Return whether a service is divided by key."""
+        """Return whether a service is partitioned by key."""
         rules = self._table.rules(service) if self._table is not None else None
         return rules is not None and rules.keyed
 
@@ -286,17 +286,17 @@
         route: Route,
         key: int | None,
         tried: frozenset[str],
-        asked: frozenset[str],
+        full: frozenset[str],
     ) -> Placement | None:
-        """Return where the next attempt goes; None where nobody may be asked now.
+        """Return the placement of the next attempt; None if no target is available now.
 
-        Targets in *tried* are left out, those in *asked* have just told their load.
+        Targets in *tried* are excluded; those in *full* have just reported that they had no slot.
         """
         if key is not None:
             return self._owner_of(service, key)
         now = boot_time()
         directory = self.directory
-        candidates = directory.candidates(service, now, unix_time(), tried, self._rng, asked)
+        candidates = directory.candidates(service, now, unix_time(), tried, self._rng, full)
         size_kb = self._mean_size_kb.get(route.name, 0.0)
         exchange = Exchange(size_kb, route.kind is RequestKind.DOWNLOAD)
         usual_s = directory.usual_s(service)
@@ -304,7 +304,7 @@
         return self._placement(chosen.target, 0) if chosen is not None else None
 
     def _owner_of(self, service: str, key: int) -> Placement | None:
-        """Return the owner of a key; where none can be asked the map here may be old."""
+        """Return the owner of a key; if none is reachable, request a newer key map."""
         key_map = self._maps.of(service)
         owned = key_map.range_of(key) if key_map is not None else None
         placement = None
@@ -322,38 +322,38 @@
         return Placement(self.directory, target, member.peer_address, local, map_version)
 
     def _is_drained(self, target: str) -> bool:
-        """Return whether an owner of keys is where nothing may be sent any more."""
+        """Return whether the time for keyed requests in an owner's drained domain has expired."""
         since = self.directory.drained_since(target)
         return since is not None and boot_time() > since + self._settings.keyed_drain_s
 
     def is_wholly_drained(self, service: str) -> bool:
-        """Return whether operators drain every failure domain that has targets of a service."""
+        """Return whether all failure domains with targets of a service are drained."""
         return self.directory.is_wholly_drained(service)
 
     def sheds(self, service: str, key: int) -> bool:
-        """Return whether a request is refused here, as its key's owner turns most away."""
+        """Return whether a request is shed here, as the owner of its key refuses most of them."""
         return self._sheds and self._shedding.sheds(service, key, boot_time())
 
     def key_refused(self, service: str, key: int) -> None:
-        """The owner of a key had no room for a request, or did not answer in time."""
+        """Record that the owner of a key had no free capacity, or did not respond in time."""
         self._shedding.refused(service, key, boot_time())
 
     def key_served(self, service: str, key: int) -> None:
-        """The owner of a key has run a request."""
+        """Record that the owner of a key has run a request."""
         self._shedding.served(service, key, boot_time())
 
     def has_other_target(self, service: str, tried: set[str]) -> bool:
-        """Return whether a service has a target that was not tried."""
+        """Return whether a service has an available target that was not tried."""
         return self.directory.has_candidate(service, frozenset(tried))
 
     def idle_odds(self, service: str) -> IdleOdds | None:
-        """Return how often targets of a service have a free place; None where nobody asks."""
+        """Return the odds that a service's targets have a free slot; None if that is not probed."""
         if not self._settings.overload.uses(Mechanism.IDLE_FIRST):
             return None
         return self._idle_odds.setdefault(service, IdleOdds())
 
     def connection(self, address: str) -> PeerConnection | None:
-        """Return the connection to another daemon if it is up."""
+        """Return the connection to another daemon, or None if it is not established."""
         return self._pool.ready(address)
 
     def connect(self, address: str) -> "Deferred[PeerConnection]":
@@ -361,11 +361,11 @@
         return self._pool.connect(address)
 
     def count_arrival(self, service: str) -> None:
-        """A target of a service has received a request for the first time."""
+        """Count a request that a target has received for the first time, for the retry budget."""
         self._budget(service).request(boot_time())
 
     def take_repeat(self, service: str) -> bool:
-        """Take one repeat from the budget of a service; return whether there was one."""
+        """Take one retry from the budget of a service; return whether one was available."""
         daemons = len(self.directory.members)
         return self._budget(service).take(boot_time(), daemons)
 
@@ -375,55 +375,55 @@
             budget = self._budgets[service] = RetryWindow(self._settings.retries)
         return budget
 
-    # -- what requests learn -------------------------------------------------------------
+    # -- results of attempts -------------------------------------------------------------
 
     def load_reported(self, target: str, load: TargetLoad) -> None:
-        """An answer told a target's load."""
+        """Record the load that a target's response reported."""
         self.directory.loaded(target, load, boot_time())
 
     def exchange_completed(self, route: Route, size: int) -> None:
-        """A request and its answer of *size* bytes were exchanged on a route."""
+        """Record the size in bytes of a request and its response on a route."""
         kilobytes = size / BYTES_PER_KB
         mean = self._mean_size_kb.get(route.name, kilobytes)
         self._mean_size_kb[route.name] = mean + SIZE_WEIGHT * (kilobytes - mean)
 
     def target_failed(self, target: str) -> None:
-        """A target failed a request."""
+        """Record a request that failed at a target."""
         view = self.directory.view(target)
         if view is not None:
             view.failed(boot_time())
 
     def target_succeeded(self, target: str) -> None:
-        """A target answered as it should: half of what it failed lately is forgiven."""
+        """Record a success at a target, which reduces the weight of its recent failures."""
         view = self.directory.view(target)
         if view is not None and view.failures:
             view.failures = view.recent_failures(boot_time()) * 0.7
             view.failed_at = boot_time()
 
     def target_unreachable(self, target: str, detail: str) -> None:
-        """The daemon beside a target could not be reached."""
+        """Record that a target's daemon could not be reached."""
         self.directory.unreachable(target, boot_time())
         self.log.decided("peer_unreachable", failure=True, target=target, detail=detail)
 
     def map_version_seen(self, service: str, map_version: int, placement: Placement) -> None:
-        """A daemon answered by a key map of *map_version*: ask it for that if it is newer."""
+        """Request the key map of a daemon that replied by a newer version than the one here."""
         if map_version > self._maps.version(service) and not placement.local:
             self._request_map(service, placement.address)
 
     # -- headers -------------------------------------------------------------------------
 
     def forwarded(self, request: CallerRequest, request_id: bytes) -> bytes:
-        """Return the header lines that are passed on to the target."""
+        """Return the header lines that are forwarded to the target."""
         return self._dialect.forwarded(list(request.requestHeaders.getAllRawHeaders()), request_id)
 
     def named(self, headers: bytes) -> bytes:
-        """Return what a request's header lines add to its path, to say what it asks for."""
+        """Return the part of the header lines that, beside the path, identifies the content."""
         return self._dialect.named(headers)
 
     def answer_headers(self, headers: bytes) -> bytes:
-        """Return the header lines of an answer that go back to the caller."""
+        """Return the header lines of a response that are forwarded to the caller."""
         return self._dialect.answer_headers(headers)
 
     def refusal_headers(self, request_id: bytes, retry_after_s: float) -> bytes:
-        """Return the header lines of an answer of pearward's own."""
+        """Return the header lines of a response that pearward generates itself."""
         return self._dialect.refusal_headers(request_id, retry_after_s)
--- a/packages/daemon/src/pearward_daemon/mesh/paced_stream.py
+++ b/packages/daemon/src/pearward_daemon/mesh/paced_stream.py
@@ -1,9 +1,9 @@
-"""Long answers to other daemons, handed over in turns as fast as the own link takes them.
+"""Pacing of long responses to other daemons at the rate of the instance's link.
 
-A stream stands between a peer's connection and a request at the target: towards the request
-it is where the answer goes, towards the connection it is the owner's end of a stream. Short
-answers pass at once; a long one is kept here, head included, until its turn comes, so that
-the target's slot is free as soon as the target has sent it.
+A PacedStream connects a peer's connection and a request at the target: it is the reply sink of
+the request and the handler of the connection's stream. Short responses are sent at once. A long
+response is buffered, head included, until the link queue selects it, so that the target's slot
+is free as soon as the target has sent the response.
 """
 
 from collections.abc import Callable
@@ -20,13 +20,13 @@
 __all__ = ["LinkPacer", "PacedStream"]
 
 MAX_BUFFERED_BYTES = 1024 * 1024
-"""Bytes of one answer that are kept here; the target is read no further beyond that. The
-largest answers seen on the users' sites have half of it."""
+"""Buffered bytes of one response from which reading from the target pauses. The largest
+responses seen on the users' sites have half of this size."""
 MIN_WAIT_S = 0.001
 
 
 class LinkPacer:
-    """Gives the streams of one daemon their turns on the instance's link."""
+    """Schedules the chunks of a daemon's streams on the instance's link."""
 
     def __init__(self, reactor: Any, queue: LinkQueue) -> None:
         self._reactor = reactor
@@ -36,29 +36,29 @@
 
     @property
     def waiting(self) -> int:
-        """Long answers that are not handed over whole."""
+        """Number of long responses that were not yet passed to their connections whole."""
         return len(self._streams)
 
     @property
     def chunk(self) -> int:
-        """Bytes that are handed over in one turn."""
+        """Maximum bytes of one chunk."""
         return self._queue.chunk
 
     def join(
         self, stream: "PacedStream", objective: float, size: int, deadline: float
     ) -> LinkTicket:
-        """Let a stream's answer of *size* bytes wait for its turns."""
+        """Queue a stream's response of *size* bytes for the link."""
         ticket = self._queue.join(objective, size, boot_time(), deadline=deadline)
         self._streams[ticket] = stream
         return ticket
 
     def leave(self, ticket: LinkTicket) -> None:
-        """A stream needs no more turns."""
+        """Remove a stream from the queue."""
         self._queue.leave(ticket)
         self._streams.pop(ticket, None)
 
     def send_chunks(self) -> None:
-        """Let answers go out until the link has enough for the moment."""
+        """Send chunks until the link is saturated, and schedule the next check."""
         while (ticket := self._queue.next(boot_time())) is not None:
             self._streams[ticket].send_chunk()
         if self._streams and self._timer is None:
@@ -72,7 +72,7 @@
 
 
 class PacedStream(PeerReply):
-    """One request of a peer and its answer."""
+    """One request of a peer and its response."""
 
     def __init__(
         self,
@@ -90,17 +90,17 @@
         self._deadline = deadline
         self._ticket: LinkTicket | None = None
         self._head: ResponseHead | None = None
-        """Head of a long answer that has not had its first turn."""
+        """Head of a long response before its first chunk was sent."""
         self._buffer = bytearray()
         self._target_paused = False
         self._deferred_reset: ResetCode | None = None
-        """Reset that follows the answer: the target did not want the rest of the request."""
+        """Reset that is sent after the response, as the target did not read the whole request."""
         self._request = take(self)
 
-    # -- the answer, from the request -------------------------------------------
+    # -- the response, from the request -----------------------------------------
 
     def respond(self, head: ResponseHead, *, ended: bool, body: bytes = b"") -> None:
-        """Send the whole of a short answer, or keep the head of a long one."""
+        """Send a short response whole, or buffer the head of a long one."""
         if ended:
             super().respond(head, ended=True, body=body)
             return
@@ -110,7 +110,7 @@
         )
 
     def send_data(self, data: bytes, *, ended: bool = False) -> bool:
-        """Keep a chunk until its turn; return whether more may follow at once."""
+        """Buffer a chunk for the link; return whether more may follow at once."""
         ticket = self._ticket
         if ticket is None:
             return True
@@ -125,7 +125,7 @@
         return not self._target_paused
 
     def reset(self, code: ResetCode) -> None:
-        """Break the answer off; one that is whole here is still sent."""
+        """Reset the stream; a response that is completely buffered is still sent before."""
         if self._ticket is not None and self._ticket.ended:
             self._deferred_reset = code
             return
@@ -133,7 +133,7 @@
         super().reset(code)
 
     def send_chunk(self) -> None:
-        """Hand the next chunk over to the connection."""
+        """Pass the next chunk to the connection."""
         ticket = self._ticket
         assert ticket is not None
         if self._head is not None:
@@ -162,28 +162,28 @@
     # -- the request, from the connection ------------------------------------------
 
     def begin(self) -> None:
-        """Start: the stream can be answered from now on."""
+        """Start the request, which may respond from now on."""
         self._request.begin()
 
     def response_received(self, head: ResponseHead, ended: bool, body: bytes) -> None:
-        """Never happens at this end of a stream."""
+        """Do nothing, as this end of a stream receives no response."""
 
     def data_received(self, data: bytes, ended: bool) -> None:
-        """Pass a chunk of the request's body on."""
+        """Forward a chunk of the request's body."""
         self._request.data_received(data, ended)
 
     def writable(self) -> None:
-        """The receiver takes more."""
+        """Send further chunks, as the receiver accepts more."""
         if self._ticket is not None:
             self._ticket.blocked = False
             self._pacer.send_chunks()
 
     def reset_received(self, code: ResetCode) -> None:
-        """The requester gave up."""
+        """Cancel the request, as the requester has reset the stream."""
         self._leave()
         self._request.reset_received(code)
 
     def connection_lost(self) -> None:
-        """Nobody is left to answer to."""
+        """Cancel the request, as the connection to the requester is lost."""
         self._leave()
         self._request.connection_lost()
--- a/packages/daemon/src/pearward_daemon/mesh/request_body.py
+++ b/packages/daemon/src/pearward_daemon/mesh/request_body.py
@@ -1,4 +1,4 @@
-"""The body of a caller's request: kept for as long as it may have to be sent again."""
+"""The body of a caller's request, buffered as long as it may have to be sent again."""
 
 from dataclasses import dataclass
 
@@ -8,26 +8,26 @@
 __all__ = ["FirstPart", "RequestBody"]
 
 MAX_REPLAYABLE_BYTES = COUNTED_BODY
-"""A request body up to this length is kept, so that it can be sent again; all of it is here when
-its content is worked out."""
+"""Maximum length in bytes of a body that is buffered for retries. It is that of the bodies that
+the content digest covers, so that such a body is complete when the digest is computed."""
 
 
 @dataclass(frozen=True, slots=True)
 class FirstPart:
-    """What goes to the daemon beside the target as an attempt begins."""
+    """The part of a body that is sent when an attempt starts."""
 
     with_head: bytes
     ended: bool
-    """Whether that is all."""
+    """Whether the body ends with *with_head*."""
     rest: bytes
-    """What follows the head at once, in a chunk of its own."""
+    """The data that follows the head at once, in a separate chunk."""
 
 
 class RequestBody:
-    """What has come of one body."""
+    """The received part of one request body."""
 
     def __init__(self, length: int | None) -> None:
-        """Begin a body; *length* is None where the caller does not tell it."""
+        """Initialise an empty body; *length* is None if the caller did not declare it."""
         self._declared_length = -1 if length is None else length
         self._chunks: list[bytes] = []
         self._size = 0
@@ -37,46 +37,46 @@
 
     @property
     def ended(self) -> bool:
-        """Whether it is whole."""
+        """Whether the whole body has been received."""
         return self._ended
 
     @property
     def size(self) -> int:
-        """Bytes that were kept."""
+        """Number of bytes received while the body was buffered."""
         return self._size
 
     @property
     def length(self) -> int:
-        """Bytes of the whole body; -1 where they are not known yet."""
+        """Length of the whole body in bytes; -1 while unknown."""
         return self._size if self._ended else self._declared_length
 
     @property
     def is_buffering(self) -> bool:
-        """Whether it is to be whole before the request goes anywhere."""
+        """Whether the body is short enough to be received whole before the first attempt."""
         return not self._ended and max(self._declared_length, self._size) <= MAX_REPLAYABLE_BYTES
 
     @property
     def kept(self) -> bytes:
-        """What was kept of it."""
+        """The buffered data."""
         return b"".join(self._chunks)
 
-    # -- what comes -----------------------------------------------------------------
+    # -- data -----------------------------------------------------------------------
 
     def received(self, data: bytes) -> None:
-        """Keep a chunk."""
+        """Buffer a chunk."""
         self._chunks.append(data)
         self._size += len(data)
 
     def end(self) -> None:
-        """All of it has come."""
+        """Note that the whole body has been received."""
         self._ended = True
 
     def streaming_started(self) -> None:
-        """What was kept has been sent, and what follows will be: it cannot be sent again."""
+        """Drop the buffer, as the body is streamed from now on and cannot be sent again."""
         self._chunks = []
 
     def first_part(self) -> FirstPart:
-        """Return what an attempt begins with: a short body goes with the head."""
+        """Return the data to send when an attempt starts; a short body goes with the head."""
         kept = self.kept
         if self._ended and len(kept) <= SHORT_BODY:
             return FirstPart(kept, True, b"")
--- a/packages/daemon/src/pearward_daemon/mesh/routed_request.py
+++ b/packages/daemon/src/pearward_daemon/mesh/routed_request.py
@@ -1,4 +1,4 @@
-"""One caller's request: which target it goes to, what is tried next, what the caller is told."""
+"""Routing of one caller's request: target selection, retries and the response to the caller."""
 
 from __future__ import annotations
 
@@ -38,18 +38,18 @@
 MS_PER_S = 1000
 BAD_GATEWAY, UNAVAILABLE, GATEWAY_TIMEOUT = 502, 503, 504
 CONNECT_TIMEOUT_S = 0.25
-"""Seconds for a connection to a daemon in the same region; another one is tried after it."""
+"""Maximum wait in s for a connection to a daemon in the same region; then another is tried."""
 DEFAULT_RETRY_AFTER_S = 0.1
-"""Seconds after which a caller may come back where nothing better is known."""
+"""Default retry delay in s for refused callers, where no better estimate is known."""
 CALLER_MARGIN_S = 0.01
-"""The last word goes out this long before the caller stops listening: it is 3 ms away."""
+"""Seconds before the caller's deadline at which the final response is sent; transit takes 3 ms."""
 OWNER_MARGIN_S = 0.03
-"""The owner's daemon stops this long before the caller does: it alone knows whether the
-request was still waiting, and its word must be here in time."""
+"""Seconds before the caller's deadline at which the owner's daemon stops. Only that daemon can
+report whether the request was still queued, and its reply must arrive here in time."""
 
 
 class RoutedRequest:
-    """One request of a caller that has a route."""
+    """A caller's request for which a route was found."""
 
     def __init__(
         self,
@@ -67,7 +67,7 @@
         limit_ms = route.timeout_ms
         if intent.deadline_ms is not None:
             limit_ms = min(limit_ms, intent.deadline_ms)
-        # Others order their work by the time that is left, and the caller hears nothing later.
+        # Other daemons schedule by the time left; no response reaches the caller after *ends_at*.
         self._deadline = min(self._started + limit_ms / MS_PER_S, ingress.ends_at)
         self._service = ingress.service_for(route)
         self._keyed = intent.key is not None and ingress.is_keyed(self._service)
@@ -87,13 +87,13 @@
         self._retry_after_s = 0.0
         self._last_reason: Reason | None = None
         self._idle_probe: IdleOdds | None = None
-        """Told whether the target that was asked first had a place without a queue."""
+        """Receives whether the target had a free slot; None if the attempt may be queued."""
         self._shedding_checked = False
-        """Whether it was decided if the request is shed: it counts once for its key."""
+        """Whether load shedding was checked; each request counts once for its key."""
         self._responding = False
         self._caller_paused = False
         self._unconsumed = 0
-        """Bytes of the answer that the owner must not replace yet."""
+        """Bytes received but not yet acknowledged, by which the owner's send window is reduced."""
         self._done = False
         self._deadline_timer: Any = None
         self._wait_timer: Any = None
@@ -102,23 +102,23 @@
 
     @property
     def service(self) -> str:
-        """Service that is asked."""
+        """The service that the request goes to."""
         return self._service
 
     @property
     def route(self) -> Route:
-        """Route that was chosen."""
+        """The route that was chosen."""
         return self._route
 
     @property
     def done(self) -> bool:
-        """Whether it was answered or its caller has left."""
+        """Whether the request was answered or its caller has disconnected."""
         return self._done
 
-    # -- the caller's side ----------------------------------------------------------
+    # -- events from the caller ------------------------------------------------------
 
     def begin(self) -> None:
-        """Start, once a short body is whole."""
+        """Start the deadline, and the first attempt unless the body is to be buffered first."""
         self._forwarded = self._ingress.forwarded(self._request, self._intent.request_id)
         left_s = max(0.0, self._deadline - boot_time() - CALLER_MARGIN_S)
         self._deadline_timer = self._ingress.call_later(left_s, self._deadline_passed)
@@ -126,7 +126,7 @@
             self._next_attempt()
 
     def body_received(self, data: bytes) -> None:
-        """Take a chunk of the request's body."""
+        """Process a chunk of the request's body."""
         if self._done:
             return
         if self._plan.sent_on:
@@ -135,11 +135,11 @@
             return
         self._body.received(data)
         if not self._body.is_buffering and self._attempt is None and self._wait_timer is None:
-            # Too long to keep: from here on it can be sent only once.
+            # The body is too long to buffer: from here on it can be sent only once.
             self._next_attempt()
 
     def body_ended(self) -> None:
-        """The request's body is whole."""
+        """Process the end of the request's body."""
         if self._done:
             return
         self._body.end()
@@ -150,18 +150,18 @@
             self._next_attempt()
 
     def caller_lost(self) -> None:
-        """The caller has left: nobody needs the work any more."""
+        """Cancel the attempt, as the caller has disconnected."""
         if self._done:
             return
         self._cancel_attempt()
         self._finish("caller_left", 0, Reason.CANCELLED)
 
     def pause(self) -> None:
-        """The caller takes no more for now: the window to the owner fills up."""
+        """Stop acknowledging data, so that the owner's send window fills up."""
         self._caller_paused = True
 
     def resume(self) -> None:
-        """The caller takes more: let the owner send it."""
+        """Acknowledge the data received so far, so that the owner can send more."""
         self._caller_paused = False
         if self._attempt is not None and self._unconsumed:
             count, self._unconsumed = self._unconsumed, 0
@@ -192,14 +192,14 @@
             self._connect(placement)
 
     def _caller_disconnected(self) -> bool:
-        """Send nothing for a caller that left while this daemon stood still."""
+        """Return whether the caller disconnected while this daemon was suspended; finish if so."""
         left = self._request.left
         if left:
             self.caller_lost()
         return left
 
     def _is_quarantined(self) -> bool:
-        """Refuse a request under which too many targets crashed, whatever its id."""
+        """Refuse the request if too many targets crashed on its content; return whether it was."""
         quarantine = self._ingress.quarantine
         if not quarantine:
             return False
@@ -210,7 +210,7 @@
         return left_s > 0.0
 
     def _is_shed(self) -> bool:
-        """Refuse a first attempt whose key the owner has turned away too often lately."""
+        """Refuse a first attempt whose key is shed by its owner; return whether it was refused."""
         if self._key is None or self._shedding_checked:
             return False
         self._shedding_checked = True
@@ -221,7 +221,7 @@
 
     @cached_property
     def _content_digest(self) -> str:
-        """What is asked for, as the daemon beside the target names it as well."""
+        """The digest of the request's content, which the target's daemon computes alike."""
         named = self._ingress.named(self._forwarded)
         body = self._body
         return content_digest(
@@ -230,7 +230,7 @@
 
     @property
     def _is_download(self) -> bool:
-        """Whether the answer is long: the link of the target's instance counts as well."""
+        """Whether the response is long, so that the link of the target's instance matters too."""
         return self._route.kind is RequestKind.DOWNLOAD
 
     @property
@@ -238,8 +238,8 @@
         return self._intent.key if self._keyed else None
 
     def _no_target(self) -> None:
-        """No target may be asked now: wait a little for one, or refuse."""
-        # Operators want nothing sent there: only they can change that.
+        """Wait a short time for a target, or refuse the request, as none is available now."""
+        # Waiting does not help in a drain of all failure domains: only operators can end it.
         drained = self._ingress.is_wholly_drained(self._service)
         if drained or not self._plan.waits_for_owner(boot_time()):
             reason = self._last_reason or Reason.NO_ROUTE
@@ -250,7 +250,7 @@
         self._wait_timer = self._ingress.call_later(OWNER_WAIT_S, self._next_attempt)
 
     def _connect(self, placement: Placement) -> None:
-        """Wait a short while for a connection to another daemon."""
+        """Wait for a connection to another daemon, for CONNECT_TIMEOUT_S at most."""
         pending = [True]
 
         def connected(connection: PeerConnection) -> None:
@@ -311,7 +311,7 @@
         )
 
     def _is_idle_only(self, placement: Placement) -> bool:
-        """Return whether the target is passed over if it has no free slot now."""
+        """Return whether the target is to refuse the request if it has no free slot now."""
         odds = None if self._keyed else self._ingress.idle_odds(self._service)
         if odds is None or self._is_last_target(placement) or not odds.worth_asking():
             return False
@@ -319,13 +319,13 @@
         return True
 
     def _record_idle_probe(self, *, found: bool) -> None:
-        """The target that was asked for a place without a queue has answered."""
+        """Record whether the target had a free slot, if the attempt required one."""
         odds, self._idle_probe = self._idle_probe, None
         if odds is not None:
             odds.asked(found=found)
 
     def _is_last_target(self, placement: Placement) -> bool:
-        """Return whether no other target would be asked if this one refuses."""
+        """Return whether no other target would be tried if this one refuses."""
         others = self._plan.tried | {placement.target}
         return self._plan.asks_last or not self._ingress.has_other_target(self._service, others)
 
@@ -358,7 +358,7 @@
         )  # fmt: skip
 
     def _send_rest(self, attempt: LocalAttempt | RemoteAttempt, rest: bytes) -> None:
-        """Send what did not travel with the head; what is still to come is passed on."""
+        """Send the part of the body that did not go with the head; later chunks are streamed."""
         if self._done or self._attempt is not attempt:
             return
         if not self._body.ended:
@@ -379,10 +379,10 @@
             self._placement.attempt_ended()
             self._placement = None
 
-    # -- what comes back --------------------------------------------------------------
+    # -- events from the attempt -------------------------------------------------------
 
     def answer_head(self, head: ResponseHead, ended: bool, body: bytes) -> None:
-        """The attempt's answer begins, or is whole."""
+        """Process the head of the response, or the whole of a short one."""
         if self._done or self._placement is None:
             return
         if head.load is not None:
@@ -412,7 +412,7 @@
         self._request.begin_answer(head.status, headers, head.body_length)
 
     def answer_data(self, data: bytes, ended: bool) -> None:
-        """A chunk of the answer."""
+        """Forward a chunk of the response to the caller."""
         if self._done or not self._responding:
             return
         self._request.answer_chunk(data)
@@ -425,7 +425,7 @@
             self._finish("answered", 200, None)
 
     def attempt_failed(self, outcome: Outcome, reason: Reason, detail: str) -> None:
-        """The attempt ended without an answer, or in the middle of one."""
+        """Process an attempt that ended without a response, or in the middle of one."""
         if self._done:
             return
         if self._placement is not None and reason is Reason.CONNECTION_LOST:
@@ -438,18 +438,18 @@
         self._failed(outcome, reason, 0.0, detail)
 
     def attempt_writable(self) -> None:
-        """More of the body may be sent."""
+        """Resume reading the body, as the owner accepts more of it."""
         self._request.resume_body()
 
     def _end_attempt(self) -> None:
-        """The attempt is finished: expect nothing more of it."""
+        """Detach from the attempt, as it is finished."""
         attempt, self._attempt = self._attempt, None
         if attempt is not None:
             attempt.detach()
         self._release_placement()
 
     def _refused(self, head: ResponseHead) -> None:
-        """The owner's daemon, or the target, turned the request down or failed."""
+        """Process a refusal or a failure of the owner's daemon or of the target."""
         assert self._placement is not None
         reason = head.reason or Reason.SERVER_FAILED
         self._ingress.map_version_seen(self._service, head.version, self._placement)
@@ -460,7 +460,7 @@
         self._failed(head.outcome, reason, head.retry_after_ms / MS_PER_S, head.detail)
 
     def _retries_server_error(self, head: ResponseHead) -> bool:
-        """Ask once more where the target's own failure may be another one's success."""
+        """Return whether a 5xx response was followed by a retry, as that may succeed."""
         assert self._placement is not None
         if head.status < 500:
             self._ingress.target_succeeded(self._placement.target)
@@ -483,7 +483,7 @@
     # -- decisions ------------------------------------------------------------------------
 
     def _failed(self, outcome: Outcome, reason: Reason, retry_after_s: float, detail: str) -> None:
-        """An attempt brought no answer: try another, or tell the caller."""
+        """Start another attempt after one without a response, or send the caller an error."""
         target = self._placement.target if self._placement is not None else ""
         self._end_attempt()
         self._tally.failed(outcome, reason)
@@ -505,7 +505,7 @@
             self._next_attempt()
 
     def _should_retry(self, outcome: Outcome, reason: Reason, target: str) -> bool:
-        """Decide whether the request is sent again, and take from the budget if it is."""
+        """Decide whether the request is sent again, and charge the retry budget if required."""
         if outcome is not Outcome.NOT_RUN:
             self._ingress.target_failed(target)
         if outcome is not Outcome.NOT_RUN or reason is Reason.TARGET_REFUSED:
@@ -516,17 +516,17 @@
         return step is NextStep.ELSEWHERE
 
     def _note_arrival(self) -> None:
-        """A target has received the request; the first time it counts for the budget."""
+        """Note that a target has received the request; the first time adds to the retry budget."""
         if self._plan.arrived():
             self._ingress.count_arrival(self._service)
 
     def daemon_stopping(self) -> None:
-        """This daemon ends now: a caller that has no answer yet is told so."""
+        """Refuse the request if it has no response yet, as this daemon stops now."""
         if not self._responding:
             self._end_unanswered(Reason.DRAINING)
 
     def _deadline_passed(self) -> None:
-        """The caller, or the route, allows no more time."""
+        """End the request, as the time allowed by the caller or the route has passed."""
         self._deadline_timer = None
         self._end_unanswered(Reason.DEADLINE)
 
@@ -548,7 +548,7 @@
         status: int = BAD_GATEWAY,
         detail: str = "",
     ) -> None:
-        """Tell the caller that there is no answer, and whether the request may have run."""
+        """Send an error response whose status states whether the request may have run."""
         final = self._tally.final(outcome)
         if final is Outcome.NOT_RUN:
             status = UNAVAILABLE
@@ -558,7 +558,7 @@
         self._request.answer_whole(status, headers, b"")
         self._finish("given_up", status, reason, detail)
 
-    # -- ends -----------------------------------------------------------------------------
+    # -- clean-up -------------------------------------------------------------------------
 
     @property
     def _id(self) -> str:
