--- a/packages/daemon/src/pearward_daemon/mesh/member_feed.py
+++ b/packages/daemon/src/pearward_daemon/mesh/member_feed.py
@@ -1,7 +1,8 @@
-"""Where this daemon hears of changed members: from the store, or from a watcher that does.
+"""The source of changes to the members' entries: the store, or a watcher that follows it.
 
-A watcher keeps the questions of others until it has news, and answers after a while in any
-case, so that one that is silent is found out. Whoever hears from no watcher asks the store.
+A watcher holds the queries of other daemons until there are changes, and replies after a limited
+time in any case, so that a failed watcher is detected. A daemon that gets no reply from any
+watcher queries the store.
 """
 
 from collections.abc import Callable
@@ -33,16 +34,16 @@
 __all__ = ["MemberFeed"]
 
 MAX_HOLD_S = 1.0
-"""Seconds after which a watcher answers without news: its silence then tells that it is gone."""
+"""Seconds after which a watcher replies even without changes, so that no reply means a failure."""
 REPLY_TIMEOUT_S = 1.5
-"""Seconds for which an answer is waited for: the hold, and what a busy link adds."""
+"""Maximum wait in s for a watcher's reply: MAX_HOLD_S and the delay of a busy link."""
 STORE_POLL_S = 4.0
-"""Seconds for which one call to the store waits for changes. A connection may go silent while
-others work; then this daemon, and all that ask it, hear nothing until the call has timed out."""
+"""Seconds for which one call to the store waits for changes. If its connection fails silently
+while others work, this daemon and all that query it miss changes until the call has timed out."""
 CURRENT_FOR_S = 1.0
-"""Seconds between two calls to the store in which a watcher still tells what it knows."""
+"""Seconds between two calls to the store in which a watcher still counts as current."""
 MAX_PENDING_QUERIES = 4096
-"""Questions that wait at a watcher, at most: each of the others has one."""
+"""Maximum number of queries held by a watcher; each other daemon has one."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -54,7 +55,7 @@
 
 
 class MemberFeed:
-    """Changes of the members' entries, as the store's own watch would bring them."""
+    """Changes of the members' entries, as the store's own watch would return them."""
 
     def __init__(
         self,
@@ -78,11 +79,11 @@
         self._nonce = 0
         self._awaited_replies: dict[int, Deferred[TellChanges | None]] = {}
         self._was_watcher: bool | None = None
-        """Whether this daemon was a watcher when it last asked; None before."""
+        """Whether this daemon was a watcher at its last call of *changes*; None before."""
         self._store_calls = 0
-        """Calls to the store that wait for changes now."""
+        """Number of calls to the store that wait for changes now."""
         self._last_store_reply = float("-inf")
-        """When the last such call ended with an answer."""
+        """Time in s at which the last such call succeeded."""
         self._available = True
 
     # -- properties -------------------------------------------------------------
@@ -94,41 +95,41 @@
 
     @property
     def _is_current(self) -> bool:
-        """Whether what is known here is what the store has, but for the last moments."""
+        """Whether the changes known here are those of the store, except for the last moments."""
         if not self._available:
             return False
         return bool(self._store_calls) or boot_time() - self._last_store_reply < CURRENT_FOR_S
 
-    # -- this daemon's own view -------------------------------------------------------
+    # -- changes for this daemon ------------------------------------------------------
 
     def entries_read(self, revision: int) -> None:
-        """All entries were read from the store, as they were at a revision."""
+        """Note that all entries were read from the store at a revision."""
         self._changes.begin(revision)
 
     def set_store_available(self, available: bool) -> None:
-        """Take whether the store answers this daemon: while it does not, nobody relies on it."""
+        """Note whether the store is available; if not, release all queries held here."""
         self._available = available
         if not available:
             self._reply_due(lambda _: True)
 
     async def changes(self, after: int, wait_s: float) -> Changes:
-        """Return what has changed after a revision, once there is something or time has passed.
+        """Return the changes after a revision, waiting a limited time for the first.
 
-        Raises what the store raises: HistoryGone where all has to be read anew.
+        Raises HistoryGone if all entries have to be read again, and other errors of the store.
         """
-        watches = self.is_watcher
-        if watches != self._was_watcher:
-            self._was_watcher = watches
+        is_watcher = self.is_watcher
+        if is_watcher != self._was_watcher:
+            self._was_watcher = is_watcher
             members = len(self._directory.registered)
-            self._log.decided("watching", follows_store=watches, members=members, after=after)
-        if not watches or not self._available:
+            self._log.decided("watching", follows_store=is_watcher, members=members, after=after)
+        if not is_watcher or not self._available:
             for watcher in self._watchers.to_ask(boot_time()):
-                told = await self._query_watcher(watcher, after)
-                if told is not None:
-                    return self._record(after, told)
+                reply = await self._query_watcher(watcher, after)
+                if reply is not None:
+                    return self._record(after, reply)
         if not self._available:
-            # The lease shows when the store is back: until then a call would be refused too.
-            raise PlatformUnavailable("neither the store nor a watcher tells of changes")
+            # The lease loop detects the store's recovery; until then a call would fail as well.
+            raise PlatformUnavailable("neither the store nor a watcher is available")
         return await self._store_changes(after, wait_s)
 
     async def _store_changes(self, after: int, wait_s: float) -> Changes:
@@ -143,53 +144,53 @@
         return taken
 
     def _record(self, after: int, changes: Changes) -> Changes:
-        """Remember changes for those who ask here."""
+        """Add changes to the log from which queries of other daemons are answered."""
         if self._changes.revision != after:
             self._changes.begin(after)
         self._changes.add([_entry_change(event) for event in changes.events], changes.revision)
         return changes
 
-    # -- asking a watcher ----------------------------------------------------------------
+    # -- queries to watchers ---------------------------------------------------------------
 
     async def _query_watcher(self, watcher: Member, after: int) -> Changes | None:
-        """Ask a watcher; None where another one, or the store, has to be asked."""
+        """Query a watcher; return None if another watcher or the store has to be queried."""
         self._nonce += 1
         nonce = self._nonce
-        answer: Deferred[TellChanges | None] = Deferred()
-        self._awaited_replies[nonce] = answer
+        pending_reply: Deferred[TellChanges | None] = Deferred()
+        self._awaited_replies[nonce] = pending_reply
         timer = self._reactor.callLater(REPLY_TIMEOUT_S, self._query_timed_out, nonce)
         self._send(watcher.peer_address, AskChanges(nonce, after))
-        told = await answer
+        reply = await pending_reply
         if timer.active():
             timer.cancel()
-        if told is not None:
-            self._drains.told(DomainDrains(told.drains_revision, frozenset(told.drained)))
-        if told is None or not told.follows:
+        if reply is not None:
+            self._drains.told(DomainDrains(reply.drains_revision, frozenset(reply.drained)))
+        if reply is None or not reply.follows:
             self._watchers.silent(watcher.instance, boot_time())
             self._log.decided(
                 "watcher_passed_over", instance=watcher.instance, after=after,
-                why="no answer" if told is None else "it does not follow the store",
+                why="no answer" if reply is None else "it does not follow the store",
             )  # fmt: skip
             return None
-        if not told.known:
+        if not reply.known:
             return None
-        return Changes(tuple(_event(change) for change in told.changes), told.revision)
+        return Changes(tuple(_event(change) for change in reply.changes), reply.revision)
 
     def _query_timed_out(self, nonce: int) -> None:
-        answer = self._awaited_replies.pop(nonce, None)
-        if answer is not None:
-            answer.callback(None)
+        pending_reply = self._awaited_replies.pop(nonce, None)
+        if pending_reply is not None:
+            pending_reply.callback(None)
 
     def told(self, message: TellChanges) -> None:
-        """A watcher has answered; an answer that comes too late is dropped."""
-        answer = self._awaited_replies.pop(message.nonce, None)
-        if answer is not None:
-            answer.callback(message)
+        """Process a watcher's reply; one that arrives too late is dropped."""
+        pending_reply = self._awaited_replies.pop(message.nonce, None)
+        if pending_reply is not None:
+            pending_reply.callback(message)
 
-    # -- answering others ---------------------------------------------------------------
+    # -- queries from other daemons -----------------------------------------------------
 
     def asked(self, sender: PeerId, query: AskChanges) -> None:
-        """Another daemon asks what has changed: answer with the next news."""
+        """Process a daemon's query for changes; the reply is sent with the next change."""
         waiting = _PendingQuery(sender, query.nonce, query.after, boot_time())
         self._pending_queries.append(waiting)
         if not self._is_current or query.after < self._changes.revision:
@@ -198,35 +199,35 @@
             self._reply_due(lambda _: True)
 
     def tick(self) -> None:
-        """Answer who has waited for long."""
+        """Reply to queries that were held for MAX_HOLD_S."""
         before = boot_time() - MAX_HOLD_S
         self._reply_due(lambda query: query.received <= before)
 
     def _reply_due(self, due: Callable[[_PendingQuery], bool]) -> None:
-        """Answer the questions that are due."""
+        """Reply to the queries for which *due* returns True."""
         waiting: list[_PendingQuery] = []
-        answers: dict[int, TellChanges] = {}
+        replies: dict[int, TellChanges] = {}
         for query in self._pending_queries:
             if not due(query):
                 waiting.append(query)
                 continue
-            found = answers.get(query.after)
-            if found is None:
-                found = answers[query.after] = self._reply_for(query.after)
-            self._send(query.requester.address, replace(found, nonce=query.nonce))
+            reply = replies.get(query.after)
+            if reply is None:
+                reply = replies[query.after] = self._reply_for(query.after)
+            self._send(query.requester.address, replace(reply, nonce=query.nonce))
         self._pending_queries = waiting
 
     def _reply_for(self, after: int) -> TellChanges:
         drains = self._drains.state
-        told = TellChanges(
+        reply = TellChanges(
             0, follows=self._is_current, known=False, revision=0, changes=(),
             drains_revision=drains.revision, drained=tuple(sorted(drains.domains)),
         )  # fmt: skip
         changes = self._changes.after(after) if self._is_current else None
         if changes is None:
-            return told
+            return reply
         revision = max(after, self._changes.revision)
-        return replace(told, known=True, revision=revision, changes=changes)
+        return replace(reply, known=True, revision=revision, changes=changes)
 
 
 def _entry_change(event: WatchEvent) -> EntryChange:
--- a/packages/daemon/src/pearward_daemon/mesh/store_session.py
+++ b/packages/daemon/src/pearward_daemon/mesh/store_session.py
@@ -1,8 +1,8 @@
-"""This daemon's dealings with the platform's store: its lease, its entries, what it reads.
+"""A daemon's session with the platform's store: its lease, its entries and its watches.
 
-Three loops run side by side: one keeps the lease that its member's entry lives by, one
-follows the configuration, one the members. Each goes on through outages with what is
-known, and reads anew what it may have missed.
+Three loops run concurrently: one renews the lease to which the daemon's entry is bound, one
+watches the configuration and one the members. During an outage each continues with the last
+known state, and afterwards reads again any changes that it may have missed.
 """
 
 from collections.abc import Awaitable, Callable, Coroutine, Iterable
@@ -40,53 +40,55 @@
 __all__ = ["SessionListener", "StoreSession"]
 
 WATCH_TIMEOUT_S = 29.0
-"""Seconds that one call waits for changes: the store allows 30, and each call is one of all that
-it can take."""
+"""Maximum wait in s of one watch call. The store allows 30 s and limits the rate of calls, so that
+each should wait for long."""
 BATCH_DELAY_S = 0.25
-"""Seconds after a change before the next call, so that changes in a row cost one."""
+"""Seconds between a change and the next watch call, so that changes in quick succession are
+returned by one call."""
 FIRST_RETRY_S = 0.1
 MAX_RETRY_S = 0.8
-"""Pauses after a failed call double up to this: what lapsed is to be back within 2 s."""
+"""Upper limit in s of the back-off after failed calls, so that an expired lease or entry is
+restored within 2 s."""
 
 
 _T = TypeVar("_T")
 
 
 class SessionListener(Protocol):
-    """What is told of the store."""
+    """Receives what a session reads from the store."""
 
     def configuration_read(self, document: bytes) -> None:
-        """A configuration document was read, perhaps an old one again."""
+        """Process a configuration document, possibly one that was read before."""
 
     def drains_read(self, items: list[KeyValue], revision: int) -> None:
-        """All drains of failure domains were read, as they were at a revision."""
+        """Replace all drains of failure domains by those of a revision."""
 
     def drain_changed(self, event: WatchEvent) -> None:
-        """One drain of a failure domain was written or taken back."""
+        """Process a drain of a failure domain that was written or removed."""
 
     def drains_complete_to(self, revision: int) -> None:
-        """All changes of drains up to a revision were told."""
+        """Note that all changes of drains up to a revision were delivered."""
 
     def members_read(self, members: list[Member]) -> None:
-        """All members' entries were read."""
+        """Replace all members' entries."""
 
     def member_written(self, member: Member) -> None:
-        """A member's entry is new or has changed."""
+        """Process a member's entry that is new or has changed."""
 
     def member_gone(self, instance: str) -> None:
-        """A member's entry went."""
+        """Process the removal of a member's entry."""
 
     def crashes_read(self, records: list[CrashRecord]) -> None:
-        """Crashes of targets were read, or one has just been recorded."""
+        """Process crashes of targets that were read or have just been recorded."""
 
     def key_maps_read(self, key_maps: list[KeyMap], era: int) -> None:
-        """The key maps of all services were read, in an era of the store."""
+        """Process the key maps of all services, read in an era of the store."""
 
     def store_availability_changed(self, since: float | None) -> None:
-        """The store has answered since then; None: it does not."""
+        """Process a change of availability: since when the store is available, or None."""
 
     def former_targets(self, targets: list[str]) -> None:
-        """Targets that earlier lives of this daemon granted keys to, the newest last."""
+        """Process the targets to which earlier incarnations granted keys, the newest last."""
 
 
 class StoreSession:
@@ -114,14 +116,14 @@
         self._stopped = False
         self._watch_generation = 0
         self._era: int | None = None
-        """The era of the store as it was last seen; None before the first answer."""
+        """Last known era of the store; None before the first reply."""
         self._rollbacks = 0
 
     # -- properties -------------------------------------------------------------
 
     @property
     def lease(self) -> int:
-        """The lease; 0 while there is none."""
+        """Id of the lease; 0 while there is none."""
         return self._lease
 
     @property
@@ -131,24 +133,24 @@
 
     @property
     def store_rollbacks(self) -> int:
-        """How often the store came back from an older copy in this daemon's life."""
+        """Number of restores of the store from an older copy since this daemon started."""
         return self._rollbacks
 
     @property
     def registered(self) -> bool:
-        """Whether this daemon's entry surely stands in the store."""
+        """Whether this daemon's entry is known to exist in the store."""
         return self._available and bool(self._lease) and self._own_entry.is_written
 
-    # -- life --------------------------------------------------------------------
+    # -- start and stop ----------------------------------------------------------
 
     def start(self) -> None:
-        """Begin all loops."""
+        """Start all loops."""
         self._listener.store_availability_changed(boot_time())
         self._run(self._keep_lease())
         self._start_watches()
 
     def stop(self, *, keep_entry: bool) -> "Deferred[None]":
-        """End the loops and, unless the entry is kept, the lease, so that it goes at once."""
+        """Stop the loops; unless the entry is kept, revoke the lease, which removes the entry."""
         self._stopped = True
         self._own_entry.stop()
         if keep_entry:
@@ -156,15 +158,15 @@
         return Deferred.fromCoroutine(self._end_lease())
 
     def publish(self, member: Member | None, keyed: bool) -> None:
-        """Write *member* as this daemon's entry; None keeps what is there."""
+        """Write *member* as this daemon's entry; None leaves the entry unchanged."""
         self._own_entry.publish(member, keyed)
 
     def record_crash(self, record: CrashRecord) -> None:
-        """Write what a target was running when it crashed, so that it outlasts this daemon."""
+        """Write the requests that a target was running when it crashed, to outlast this daemon."""
         self._crashes.write(record)
 
     def _run(self, work: Coroutine[Any, Any, None]) -> None:
-        """Run a loop; what it did not expect is logged and never swallowed."""
+        """Run a coroutine, and log an unexpected exception."""
         Deferred.fromCoroutine(work).addErrback(
             lambda failure: self._log.decided(
                 "store_loop_failed", failure=True, error=failure.getTraceback()[-2000:]
@@ -220,7 +222,7 @@
     # -- entries ------------------------------------------------------------------------
 
     def _note_former_targets(self, items: Iterable[KeyValue]) -> None:
-        """Find the targets that an earlier life of this daemon granted keys to."""
+        """Pass on the targets to which earlier incarnations of this daemon granted keys."""
         entries = sorted(
             (item for item in items if item.key.startswith(HOLDERS)), key=lambda i: i.revision
         )
@@ -230,7 +232,7 @@
         )
 
     def _decoded(self, items: Any, decode: Callable[[bytes], Any]) -> list[Any]:
-        """Decode entries; one that cannot be read is logged and left out."""
+        """Decode entries; log and omit those that cannot be decoded."""
         result = []
         for item in items:
             try:
@@ -250,30 +252,30 @@
     def _decoded_with_key(
         self, items: Iterable[KeyValue], decode: Callable[[bytes], _T], key_of: Callable[[_T], str]
     ) -> list[_T]:
-        """Decode entries that tell whose they are; one under another one's key is nobody's."""
+        """Decode entries that contain their own key; omit those that stand under another key."""
         result: list[_T] = []
         for item in items:
             for decoded in self._decoded([item], decode):
                 if key_of(decoded) == item.key:
                     result.append(decoded)
                 else:
-                    self._unreadable(item.key, f"the entry of {key_of(decoded)}")
+                    self._unreadable(item.key, f"contains the entry of {key_of(decoded)}")
         return result
 
     def _unreadable(self, key: str, error: str) -> None:
-        """Tell of an entry that another writer spoiled: it is left out, the others hold."""
+        """Log an entry that cannot be used; the other entries remain valid."""
         self._log.decided("entry_unreadable", failure=True, key=key, error=error)
 
     # -- watches ---------------------------------------------------------------------------
 
     def _start_watches(self) -> None:
-        """Begin the watches, or begin them anew: older rounds end by themselves."""
+        """Start or restart the watches; loops of older generations end by themselves."""
         self._watch_generation += 1
         self._run(self._follow_operators(self._watch_generation))
         self._run(self._follow_members(self._watch_generation))
 
     async def _follow_operators(self, number: int) -> None:
-        """Follow the configuration and the drains by one watch: both cost the same calls."""
+        """Watch the configuration and the drains together, which takes half the calls."""
 
         async def read() -> int:
             snapshot = await self._store.operator_entries()
@@ -297,7 +299,7 @@
 
     async def _follow_members(self, number: int) -> None:
         async def read() -> int:
-            # One call for everything: the store takes so many calls, however much each brings.
+            # One call for all entries: the store limits the rate of calls, not their size.
             snapshot = await self._store.scan("")
             followed = [i for i in snapshot.items if i.key.startswith(MEMBERS)]
             crashes = [i for i in followed if i.key.startswith(CRASHES)]
@@ -345,13 +347,13 @@
         )
 
     def _crash_changed(self, event: WatchEvent) -> None:
-        """Take a crash that was recorded; one whose entry went is remembered for its time."""
+        """Process a recorded crash; the removal of an entry does not shorten its quarantine."""
         if event.value is not None:
             item = KeyValue(event.key, event.value, event.revision)
             self._listener.crashes_read(self._decoded_crashes([item]))
 
     def _members_batch_delay_s(self) -> float:
-        """Return how long a watcher lets changes add up; the others are told what it knows."""
+        """Return the batch delay: a watcher's in s, 0 for others, whose watchers batch for them."""
         return BATCH_DELAY_S if self._feed.is_watcher else 0.0
 
     async def _follow(
@@ -365,11 +367,11 @@
         *,
         fed_by_peers: bool = False,
     ) -> None:
-        """Read once, then take changes as they come; read again after a gap.
+        """Read once, then process changes as they arrive; read again after a gap.
 
-        *batch_delay* tells for how many seconds changes are left to add up before the next call,
-        *complete_to* receives the revision up to which all changes have been processed. With
-        *fed_by_peers*, changes can arrive from other daemons while the store is unavailable.
+        *batch_delay* returns the seconds between changes and the next call, *complete_to*
+        receives the revision up to which all changes have been processed. With *fed_by_peers*,
+        changes can arrive from other daemons while the store is unavailable.
         """
         after: int | None = None
         retry_s = FIRST_RETRY_S
@@ -393,11 +395,11 @@
                 self._check_era()
                 after = None
             except PlatformError as error:
-                # Something may have been missed where a watch was cut: the store tells
-                # by HistoryGone if it has forgotten what came since.
+                # The next call continues after the last revision: changes missed meanwhile are
+                # returned, or HistoryGone is raised if the store has compacted them.
                 self._log.decided("watch_cut", after=after, error=str(error))
                 if not self._available and not (fed_by_peers and after is not None):
-                    # The lease is asked for all the time; with its answer this begins anew.
+                    # The lease loop keeps calling, and restarts the watches on the first success.
                     return
                 await sleep(self._reactor, retry_s)
                 retry_s = min(MAX_RETRY_S, retry_s * 2)
@@ -405,9 +407,10 @@
     # -- availability ---------------------------------------------------------------------
 
     def _check_era(self) -> None:
-        """Write all that is this daemon's again when the store has come back from an older copy.
+        """Write all entries of this daemon again if the store was restored from an older copy.
 
-        The store has lost what was acknowledged in the last seconds, and tells nobody what.
+        Such a store has lost writes that it acknowledged in the last seconds before, without any
+        report of which.
         """
         before, self._era = self._era, self._store.era
         if before == self._era:
@@ -415,7 +418,7 @@
         if before is None:
             self._log.decided("store_era", era=self._era)
             return
-        # Numbers of leases may be given out again: it might be another daemon's now.
+        # Lease ids may be reused after a restore: this one possibly is another daemon's now.
         self._lease = 0
         self._own_entry.store_went_back()
         crashes = self._crashes.store_went_back()
@@ -424,7 +427,7 @@
             "store_went_back", failure=True, era=self._era, before=before,
             crashes_written=crashes,
         )  # fmt: skip
-        # What was followed is read anew: the entries there are older ones, some are gone.
+        # Read all again, as the store now holds older entries and lacks some.
         self._start_watches()
 
     def _call_succeeded(self) -> None:
@@ -434,7 +437,7 @@
             self._feed.set_store_available(True)
             self._log.decided("store_regained", lease=self._lease)
             self._listener.store_availability_changed(boot_time())
-            # Watches that were cut without a word would go on waiting.
+            # Watches on connections that failed silently would continue to wait.
             self._start_watches()
 
     def _call_failed(self, error: PlatformError) -> None:
