--- a/packages/daemon/src/pearward_daemon/mesh/app.py
+++ b/packages/daemon/src/pearward_daemon/mesh/app.py
@@ -1,4 +1,4 @@
-"""All parts of one daemon on a users' platform, put together, started and stopped."""
+"""Assembly, start and shutdown of a daemon on a users' platform."""
 
 import secrets
 from collections.abc import Callable
@@ -32,27 +32,27 @@
 __all__ = ["MeshDaemon"]
 
 DEREGISTRATION_S = 2.4
-"""Seconds after SIGTERM in which callers still come: the platform takes an instance out
-after two questions a second apart without a 200."""
+"""Seconds after SIGTERM in which new callers still arrive: the platform removes an instance
+after two readiness checks, one second apart, without a 200."""
 RESTART_RETRY_S = 1.2
-"""Seconds after which a caller that is turned away by a stopping daemon may come back: a
-process that has ended stands again a second later."""
+"""Retry delay in s for callers that a stopping daemon refuses: an ended process is restarted
+within about a second."""
 STOP_POLL_S = 0.1
 KILL_MARGIN_S = 0.4
-"""Seconds before the platform's SIGKILL by which this daemon ends by itself."""
+"""Seconds before the platform's SIGKILL at which this daemon exits by itself."""
 HEADER_BYTES = 64 * 1024
-"""Bytes of a request's headers before a configuration sets a limit."""
+"""Maximum bytes of a request's headers until a configuration sets a limit."""
 HEADER_COUNT = 200
 MS_PER_S = 1000
 OK, UNAVAILABLE = 200, 503
 IDLE_S = 60.0
-"""Seconds for which a caller's connection may rest before a configuration sets a limit."""
+"""Idle timeout in s of a caller's connection until a configuration sets a limit."""
 IDLE_MARGIN_S = 1.0
-"""Seconds for which a caller's connection is kept beyond the configuration's idle time."""
+"""Seconds for which a caller's connection is kept beyond the configured idle timeout."""
 
 
 class MeshDaemon:
-    """One pearwardd on a users' platform."""
+    """A pearwardd process on a users' platform."""
 
     def __init__(
         self,
@@ -97,10 +97,10 @@
         self._stopping_since: float | None = None
         self._stopped: Deferred[None] = Deferred()
 
-    # -- life ----------------------------------------------------------------------
+    # -- start and stop ------------------------------------------------------------
 
     def start(self) -> "Deferred[None]":
-        """Listen and begin; the Deferred fires when the daemon has stopped."""
+        """Listen and start; the Deferred fires when the daemon has stopped."""
         settings = self._settings
         listen = self._reactor.listenTCP
         peers = PeerListener(self._own_id, self, self._reactor, WINDOW, self._note_sent)
@@ -122,7 +122,7 @@
         return self._stopped
 
     def stop(self) -> None:
-        """Hand the target's work over, let what runs end, then stop; may be called twice."""
+        """Hand over the target's keys, wait for open requests, then stop; may be called twice."""
         if self._stopping_since is not None:
             return
         self._stopping_since = boot_time()
@@ -134,26 +134,27 @@
         self._check_stopped()
 
     def reload(self, settings: MeshSettings) -> None:
-        """Take changed settings: what is fixed for a process's life is only compared."""
+        """Compare settings that were read again; changes take effect only after a restart."""
         changed = settings != self._settings
         self._log.decided("settings_read", changed=changed)
 
     def _check_stopped(self) -> None:
-        """End once nothing is left, or shortly before the platform ends this process.
+        """Stop once no requests are open, or shortly before the platform kills this process.
 
-        Where too few instances of a failure domain are ready, callers come until the end:
-        from the moment that they should have stayed away they are told to come back.
+        If too few instances of a failure domain are ready, the platform continues to send callers
+        here. From the time at which they should have been rerouted they are refused with a
+        retry delay.
         """
         assert self._stopping_since is not None
         waited_s = boot_time() - self._stopping_since
         expired = waited_s >= self._settings.stop_s - KILL_MARGIN_S
-        # Without a target there are no callers here that others could serve.
+        # Without a target no callers arrive here that other instances could serve.
         min_wait_s = (
             DEREGISTRATION_S if self._local_target.info is not None else DEREGISTRATION_S / 2
         )
         if waited_s >= min_wait_s:
             self._ingress.refuse_new(RESTART_RETRY_S)
-            # What the target works on ends now; its keys wait there for the next life.
+            # Running requests end now; the target keeps its keys for the daemon's next incarnation.
             self._local_target.refuse_new()
         idle = not self._open_requests
         if expired or (idle and waited_s >= min_wait_s):
@@ -163,13 +164,13 @@
 
     @property
     def _open_requests(self) -> int:
-        """Requests that are not answered whole, here or towards other daemons."""
+        """Number of requests without a complete response, from callers or from other daemons."""
         return self._ingress.open_requests + self._local_target.open_requests + self._pacer.waiting
 
     def _deregister(self, waited_s: float) -> None:
-        """Begin nothing more, take the entry back, then let what came meanwhile end.
+        """Refuse new requests, remove the entry, then wait for requests that arrived meanwhile.
 
-        Beside a living target the entry stays for the next life to write over.
+        While the target runs the entry is kept, to be overwritten by the next incarnation.
         """
         self._local_target.refuse_new()
         keep = self._local_target.info is not None
@@ -180,7 +181,7 @@
         self._core.session.stop(keep_entry=keep).addBoth(lambda _: self._exit_when_idle())
 
     def _exit_when_idle(self) -> None:
-        """End once the requests have ended that came while the store was waited for."""
+        """Exit once the requests have ended that arrived while the entry was removed."""
         assert self._stopping_since is not None
         waited_s = boot_time() - self._stopping_since
         expired = waited_s >= self._settings.stop_s - KILL_MARGIN_S
@@ -197,7 +198,7 @@
         self._stopped.callback(None)
 
     def _table_changed(self, table: RoutingTable) -> None:
-        """Put a newer configuration in force."""
+        """Apply a newer configuration."""
         self._ingress.set_table(table)
         limits = table.limits
         idle_s = limits.idle_timeout_s + IDLE_MARGIN_S
@@ -214,7 +215,7 @@
         ended: bool,
         body: bytes,
     ) -> InboundHandler:
-        """Take a request that began at another daemon."""
+        """Accept a request that another daemon forwarded."""
         newer = head.version > self._core.key_maps.version(head.service)
         if newer and connection.peer is not None:
             self._core.request_map(head.service, connection.peer.address)
@@ -226,20 +227,20 @@
         )  # fmt: skip
 
     def control_received(self, sender: PeerId, message: ControlMessage) -> None:
-        """Take a control message."""
+        """Process a control message."""
         self._core.control_received(sender, message)
 
     def expected_at(self, address: str) -> frozenset[str]:
-        """Nothing here is concluded from who listens at an address."""
+        """Return no incarnations, as none is inferred from the peer that listens at an address."""
         return frozenset()
 
     def peer_answered(self, peer: PeerId, expected: frozenset[str]) -> None:
-        """Nothing here is concluded from who listens at an address."""
+        """Do nothing, as no end of an incarnation is inferred from the peer at an address."""
 
     # -- readiness, metrics ---------------------------------------------------------------
 
     def _status(self, request: LocalRequest) -> LocalReply:
-        """Answer whether this daemon takes callers, or its figures."""
+        """Serve the readiness check and the metrics."""
         if request.path.endswith(b"/metrics"):
             return LocalReply(self._metrics.exposition(), content_type=b"text/plain")
         unready_reason = self._core.unready_reason
@@ -247,9 +248,9 @@
         return LocalReply((unready_reason or "ready").encode() + b"\n", status, b"text/plain")
 
     def _drained_s(self) -> float:
-        """Return for how many seconds this daemon has known that its failure domain is drained.
+        """Return the seconds since this daemon received the drain of its failure domain.
 
-        0 where it is not; -1 where it was before this daemon listened.
+        0 if it is not drained; -1 if it was drained before this daemon started to watch.
         """
         since = self._local_target.drained_since
         if since is None:
--- a/packages/daemon/src/pearward_daemon/mesh/log.py
+++ b/packages/daemon/src/pearward_daemon/mesh/log.py
@@ -1,11 +1,10 @@
-"""The daemon's log: one JSON line for each decision, so many a second at most.
+"""The daemon's event log, one JSON line for each event, limited in lines per second.
 
-Lines go through eliot to the LineWriter, which never blocks. A line that is over the
-limit is counted; failures have an allowance of their own, so that a flood of ordinary
-lines cannot hide them.
+Lines are written through eliot to the LineWriter, which never blocks. Lines over the limit are
+only counted. Failures have a separate limit, so that a flood of ordinary lines cannot hide them.
 
-All lines of a process are one eliot task, numbered: a task for each line, which eliot makes
-by default, costs 17 of 21 microseconds a line (timeit, idle machine).
+All lines of a process are numbered messages of one eliot task: a task for each line, which is
+eliot's default, costs 17 of 21 microseconds a line (timeit, idle machine).
 """
 
 import time
@@ -19,7 +18,7 @@
 
 
 class DecisionLog:
-    """Writes lines, bounded by a number a second."""
+    """Writes log lines up to a limit per second."""
 
     def __init__(self, lines_per_s: int, now: Callable[[], float]) -> None:
         self._limit = lines_per_s
@@ -33,11 +32,11 @@
 
     @property
     def dropped(self) -> int:
-        """Lines that were over the limit and not told of yet."""
+        """Number of lines over the limit that were not reported yet."""
         return self._dropped
 
-    def decided(self, what: str, *, failure: bool = False, **fields: Any) -> None:
-        """Write a line on a decision, with the inputs that led to it and their age."""
+    def decided(self, event_name: str, *, failure: bool = False, **fields: Any) -> None:
+        """Write a line for an event, with the inputs that led to it and their age."""
         second = int(self._now())
         if second != self._second:
             self._next_second(second)
@@ -45,7 +44,7 @@
             self._dropped += 1
             return
         self._written[failure] += 1
-        self._write(what, fields)
+        self._write(event_name, fields)
 
     def _next_second(self, second: int) -> None:
         self._second = second
@@ -54,12 +53,12 @@
             self._write("log_lines_dropped", {"count": self._dropped})
             self._dropped = 0
 
-    def _write(self, what: str, fields: dict[str, Any]) -> None:
+    def _write(self, event_name: str, fields: dict[str, Any]) -> None:
         self._number += 1
         self._logger.write(
             {
                 **fields,
-                "message_type": f"pearward:{what}",
+                "message_type": f"pearward:{event_name}",
                 "timestamp": time.time(),
                 "task_uuid": self._task,
                 "task_level": [self._number],
--- a/packages/daemon/src/pearward_daemon/mesh/member_feed.py
+++ b/packages/daemon/src/pearward_daemon/mesh/member_feed.py
@@ -117,12 +117,12 @@
 
         Raises HistoryGone if all entries have to be read again, and other errors of the store.
         """
-        is_watcher = self.is_watcher
-        if is_watcher != self._was_watcher:
-            self._was_watcher = is_watcher
+        watching = self.is_watcher
+        if watching != self._was_watcher:
+            self._was_watcher = watching
             members = len(self._directory.registered)
-            self._log.decided("watching", follows_store=is_watcher, members=members, after=after)
-        if not is_watcher or not self._available:
+            self._log.decided("watching", follows_store=watching, members=members, after=after)
+        if not watching or not self._available:
             for watcher in self._watchers.to_ask(boot_time()):
                 reply = await self._query_watcher(watcher, after)
                 if reply is not None:
@@ -211,10 +211,10 @@
             if not due(query):
                 waiting.append(query)
                 continue
-            reply = replies.get(query.after)
-            if reply is None:
-                reply = replies[query.after] = self._reply_for(query.after)
-            self._send(query.requester.address, replace(reply, nonce=query.nonce))
+            cached = replies.get(query.after)
+            if cached is None:
+                cached = replies[query.after] = self._reply_for(query.after)
+            self._send(query.requester.address, replace(cached, nonce=query.nonce))
         self._pending_queries = waiting
 
     def _reply_for(self, after: int) -> TellChanges:
--- a/packages/daemon/src/pearward_daemon/mesh/metrics.py
+++ b/packages/daemon/src/pearward_daemon/mesh/metrics.py
@@ -1,7 +1,7 @@
-"""Counters and latency histograms by route, by OpenTelemetry, imported after the start.
+"""Latency histograms by route and gauges, by OpenTelemetry, which is imported after the start.
 
-The libraries take a good part of a start's time to import, and a start is time in which
-keys rest: what happens before they are there is kept and counted then.
+Importing the libraries takes a large part of a start, during which no keys are served. Requests
+that end before the import are buffered and recorded afterwards.
 """
 
 from collections.abc import Callable
@@ -10,14 +10,14 @@
 __all__ = ["LazyMetrics"]
 
 MAX_BUFFERED = 5_000
-"""Requests that are kept until the libraries are there; further ones are not counted."""
+"""Requests that are buffered until the libraries are imported; further ones are not counted."""
 LATENCY_BUCKETS_S = (
     0.005, 0.01, 0.02, 0.05, 0.1, 0.15, 0.2, 0.3, 0.4, 0.5, 0.6, 0.8, 1.0, 1.5, 2.0, 4.0,
 )  # fmt: skip
 
 
 class LazyMetrics:
-    """What one daemon counts and times."""
+    """The metrics of one daemon, which imports the libraries on the first scrape."""
 
     def __init__(self, instance: str) -> None:
         self._instance = instance
@@ -26,7 +26,7 @@
         self._duration: Any = None
 
     def request_ended(self, route: str, service: str, how: str, took_s: float) -> None:
-        """Time a caller's request, by route and by how it ended."""
+        """Record the duration of a caller's request, by route, service and outcome."""
         labels = {"route": route, "service": service, "outcome": how}
         if self._duration is not None:
             self._duration.record(took_s, labels)
@@ -34,11 +34,11 @@
             self._buffered.append((took_s, labels))
 
     def gauge(self, name: str, description: str, read: Callable[[], float]) -> None:
-        """Export a value that is read when metrics are."""
+        """Export a value that is read on each scrape."""
         self._gauges.append((name, description, read))
 
     def exposition(self) -> bytes:
-        """Return everything in Prometheus's text format; imports the libraries at first."""
+        """Return all metrics in Prometheus's text format; the first call imports the libraries."""
         if self._duration is None:
             self._load()
         from prometheus_client import REGISTRY, generate_latest
--- a/packages/daemon/src/pearward_daemon/mesh/settings.py
+++ b/packages/daemon/src/pearward_daemon/mesh/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a daemon on a users' platform: one YAML file, checked as a whole."""
+"""Settings of a daemon on a users' platform, read from a YAML file and validated as a whole."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -20,31 +20,32 @@
 __all__ = ["Address", "GrantWay", "MeshSettings", "StoreSettings"]
 
 LEASE_TTL_S = 3.0
-"""Seconds after which a silent daemon's entry goes: peers find out sooner by themselves."""
+"""Time to live in s of a daemon's lease, with which its entry expires. Peers detect a failed
+daemon sooner by themselves."""
 KEEP_INTERVAL_S = 0.95
-"""Seconds between renewals: two may be lost before the entry goes, and the store
-serves the whole fleet."""
+"""Seconds between renewals of the lease: two may be lost before the entry expires. It is not
+shorter since the store serves the whole fleet."""
 REPORT_TIMEOUT_S = 2.2
-"""Seconds without a report after which an owner loses its keys: a daemon that was killed
+"""Seconds without a report after which an owner's keys are reassigned: a daemon that was killed
 reports again after 1.6 s."""
 LINK_MBIT_PER_S = 1000.0
-"""Rate of an instance's link where the settings do not tell: it is never waited for."""
+"""Default rate of an instance's link, so high that responses never wait for the link."""
 KEYED_DRAIN_SHARE = 0.6
-"""Part of the time that operators allow for the drain of a failure domain in which keys that are
-still held there are served: their hand-over takes half a second, up to two for some."""
+"""Fraction of the drain time of a failure domain in which keys still held there are served: their
+handover takes half a second, and up to two for some."""
 DOMAIN_DRAIN_S = 5.0
 """Seconds from an operator's drain of a failure domain until nothing may be sent there."""
 LOG_LINES_PER_S = 200
-"""Lines of the log in a second; further ones are counted. A busy daemon takes 60 requests."""
+"""Log lines per second; further ones are only counted. A busy daemon handles 60 requests/s."""
 
 
 class GrantWay(StrEnum):
-    """How targets are told which keys they hold."""
+    """The mechanism by which keys are granted to targets."""
 
     HEARTBEAT = "heartbeat"
-    """In the answers to their heartbeats."""
+    """In the responses to their heartbeats."""
     CALL = "call"
-    """By calls of the daemon beside them."""
+    """By calls of their daemon."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -60,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreSettings:
-    """The platform's store, and how often it is spoken to."""
+    """The address of the platform's store, and the timing of the lease."""
 
     address: str
     lease_ttl_s: float
@@ -74,48 +75,48 @@
     instance: str
     failure_domain: str
     failure_domains: frozenset[str]
-    """All failure domains that there are; empty where the settings do not tell."""
+    """All existing failure domains; empty if not stated."""
     service: str
-    """Service of the target beside this daemon."""
+    """Service of the local target."""
     target_address: str
     callers: Address
     heartbeats: Address
     readiness: Address
     peers: Address
     peers_reached_at: Address
-    """Where other daemons reach *peers*; another address only where something lies between."""
+    """Address at which other daemons reach *peers*; differs only behind a proxy."""
     metrics: Address
     store: StoreSettings
     grant_way: GrantWay
-    """How the target beside this daemon is told which keys it holds."""
+    """The mechanism by which keys are granted to the local target."""
     holds: GrantTiming
     silent_s: float
-    """Seconds without a report after which an owner's keys are given to others."""
+    """Seconds without a report after which an owner's keys are reassigned."""
     retries: RetryRule
     overload: OverloadPolicy
-    """Mechanisms against overload that are on."""
+    """The enabled mechanisms against overload."""
     quarantine: QuarantineRule
-    """When a request is refused because targets crashed while they ran it."""
+    """The rule by which requests are refused whose content crashed targets."""
     drain_s: float
-    """Seconds after its leave is acknowledged in which a target may get new requests."""
+    """Seconds in which a target may get new requests after its leave is acknowledged."""
     stop_s: float
     """Seconds from SIGTERM to the platform's SIGKILL."""
     domain_drain_s: float
     """Seconds from an operator's drain of a failure domain until nothing may be sent there."""
     cold_overage: float
-    """What a cold target may get, over what the configuration says that it bears."""
+    """Factor on the load that the configuration allows for a cold target."""
     link_mbit_per_s: float
     """Rate of the instance's own link."""
     log_lines_per_s: int
 
     @property
     def keyed_drain_s(self) -> float:
-        """Seconds from the drain of a failure domain in which keys held there are served."""
+        """Seconds after the drain of a failure domain in which keys held there are served."""
         return self.domain_drain_s * KEYED_DRAIN_SHARE
 
     @classmethod
     def from_file(cls, path: Path) -> "MeshSettings":
-        """Read and check a file; raises SettingsError that names the field and the value."""
+        """Read and validate a file; raises SettingsError that names the field and the value."""
         try:
             data = _parsed(path.read_bytes())
         except (OSError, ValueError) as error:
@@ -127,7 +128,7 @@
 
     @classmethod
     def from_config(cls, data: object) -> "MeshSettings":
-        """Check settings; raises InvalidField."""
+        """Validate settings; raises InvalidField."""
         root = FieldReader(data, "")
         target = root.section("target")
         listen = root.section("listen")
@@ -165,10 +166,10 @@
 
 
 def _parsed(text: bytes) -> Any:
-    """Read a settings file; raises ValueError.
+    """Parse a settings file; raises ValueError.
 
-    What is written in YAML's flow style is JSON too, and is read without the YAML parser, whose
-    import takes 24 of some 600 ms of a start.
+    A file that is also valid JSON is read without the YAML parser, whose import takes 24 of
+    about 600 ms of a start.
     """
     try:
         return orjson.loads(text)
@@ -182,7 +183,7 @@
 
 
 def _address(reader: FieldReader, name: str, default: str | None = None) -> Address:
-    """Return an IP address and port."""
+    """Return the IP address and port of a field."""
     ip, _, port = reader.address(name, default).rpartition(":")
     return Address(ip, int(port))
 
