--- a/packages/daemon/src/pearward_daemon/mesh/ingress.py
+++ b/packages/daemon/src/pearward_daemon/mesh/ingress.py
@@ -204,30 +204,30 @@
         try:
             intent = self._dialect.intent(request.header_values())
         except BadHeader as error:
-            return self._answer(request, BAD_REQUEST, b"", str(error))
+            return self._refuse(request, BAD_REQUEST, b"", str(error))
         if self._refusal_retry_s:
-            return self._answer(
+            return self._refuse(
                 request, UNAVAILABLE, intent.request_id, "stopping", self._refusal_retry_s
             )
         table = self._table
         if table is None:
-            return self._answer(
+            return self._refuse(
                 request, UNAVAILABLE, intent.request_id, "no configuration yet",
                 NO_CONFIGURATION_RETRY_S,
             )  # fmt: skip
         if body_length is not None and body_length > table.limits.body_bytes:
-            return self._answer(request, TOO_LARGE, intent.request_id, f"{body_length} bytes")
+            return self._refuse(request, TOO_LARGE, intent.request_id, f"{body_length} bytes")
         path = request.uri.partition(b"?")[0].decode("latin-1")
         route = table.match(intent.host, path)
         if route is None:
             detail = f"{intent.host} {path} in version {table.version}"
-            return self._answer(request, NOT_FOUND, intent.request_id, detail)
+            return self._refuse(request, NOT_FOUND, intent.request_id, detail)
         routed = RoutedRequest(self, request, route, intent, body_length)
         self._open.add(routed)
         routed.begin()
         return routed
 
-    def _answer(
+    def _refuse(
         self,
         request: CallerRequest,
         status: int,
--- a/packages/daemon/src/pearward_daemon/mesh/paced_stream.py
+++ b/packages/daemon/src/pearward_daemon/mesh/paced_stream.py
@@ -80,7 +80,7 @@
         stream: int,
         pacer: LinkPacer,
         objective: float,
-        take: "Callable[[PacedStream], InboundHandler]",
+        accept_request: "Callable[[PacedStream], InboundHandler]",
         *,
         deadline: float,
     ) -> None:
@@ -95,7 +95,7 @@
         self._target_paused = False
         self._deferred_reset: ResetCode | None = None
         """Reset that is sent after the response, as the target did not read the whole request."""
-        self._request = take(self)
+        self._request = accept_request(self)
 
     # -- the response, from the request -----------------------------------------
 
--- a/packages/daemon/src/pearward_daemon/mesh/request_body.py
+++ b/packages/daemon/src/pearward_daemon/mesh/request_body.py
@@ -8,8 +8,8 @@
 __all__ = ["FirstPart", "RequestBody"]
 
 MAX_REPLAYABLE_BYTES = COUNTED_BODY
-"""Maximum length in bytes of a body that is buffered for retries. It is that of the bodies that
-the content digest covers, so that such a body is complete when the digest is computed."""
+"""Maximum length in bytes of a body that is buffered for retries. It equals the limit of the
+content digest, so that a body that the digest covers is complete when it is computed."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,7 +56,7 @@
         return not self._ended and max(self._declared_length, self._size) <= MAX_REPLAYABLE_BYTES
 
     @property
-    def kept(self) -> bytes:
+    def buffered(self) -> bytes:
         """The buffered data."""
         return b"".join(self._chunks)
 
@@ -77,7 +77,7 @@
 
     def first_part(self) -> FirstPart:
         """Return the data to send when an attempt starts; a short body goes with the head."""
-        kept = self.kept
-        if self._ended and len(kept) <= SHORT_BODY:
-            return FirstPart(kept, True, b"")
-        return FirstPart(b"", False, kept)
+        buffered = self.buffered
+        if self._ended and len(buffered) <= SHORT_BODY:
+            return FirstPart(buffered, True, b"")
+        return FirstPart(b"", False, buffered)
--- a/packages/daemon/src/pearward_daemon/mesh/routed_request.py
+++ b/packages/daemon/src/pearward_daemon/mesh/routed_request.py
@@ -225,7 +225,7 @@
         named = self._ingress.named(self._forwarded)
         body = self._body
         return content_digest(
-            self._request.method, self._request.uri, named, body.length, body.kept
+            self._request.method, self._request.uri, named, body.length, body.buffered
         )
 
     @property
