--- a/packages/daemon/src/pearward_daemon/mesh/app.py
+++ b/packages/daemon/src/pearward_daemon/mesh/app.py
@@ -122,7 +122,7 @@
         return self._stopped
 
     def stop(self) -> None:
-        """Hand over the target's keys, wait for open requests, then stop; may be called twice."""
+        """Hand over the target's work, wait for open requests, then stop; may be called twice."""
         if self._stopping_since is not None:
             return
         self._stopping_since = boot_time()
--- a/packages/daemon/src/pearward_daemon/mesh/routed_request.py
+++ b/packages/daemon/src/pearward_daemon/mesh/routed_request.py
@@ -460,7 +460,7 @@
         self._failed(head.outcome, reason, head.retry_after_ms / MS_PER_S, head.detail)
 
     def _retries_server_error(self, head: ResponseHead) -> bool:
-        """Return whether a 5xx response was followed by a retry, as that may succeed."""
+        """Retry after a 5xx response if another attempt may succeed; return True if so."""
         assert self._placement is not None
         if head.status < 500:
             self._ingress.target_succeeded(self._placement.target)
--- a/packages/daemon/src/pearward_daemon/mesh/settings.py
+++ b/packages/daemon/src/pearward_daemon/mesh/settings.py
@@ -84,7 +84,7 @@
     readiness: Address
     peers: Address
     peers_reached_at: Address
-    """Address at which other daemons reach *peers*; differs only behind a proxy."""
+    """Address at which other daemons reach *peers*; differs only behind a proxy or the like."""
     metrics: Address
     store: StoreSettings
     grant_way: GrantWay
