--- a/packages/daemon/src/pearward_daemon/mesh/call_delivery.py
+++ b/packages/daemon/src/pearward_daemon/mesh/call_delivery.py
@@ -22,7 +22,7 @@
 
 __all__ = ["CallDelivery"]
 
-LOOK_S = 0.1
+CHECK_INTERVAL_S = 0.1
 """Seconds between looks for renewals that are due, and for calls that have to be repeated."""
 
 
@@ -37,16 +37,16 @@
         log: DecisionLog,
         on_granted: Callable[[int, int], None],
         on_released: Callable[[], None],
-        on_behind: Callable[[], None],
+        on_map_outdated: Callable[[], None],
         on_other_target: Callable[[str], None],
     ) -> None:
         self._reactor = reactor
-        self._keeper = keeper
+        self._grant_manager = keeper
         self._port = port
         self._log = log
         self._on_granted = on_granted
         self._on_released = on_released
-        self._on_behind = on_behind
+        self._on_map_outdated = on_map_outdated
         self._on_other_target = on_other_target
         self._calls = GrantCalls(keeper)
         self._keyed = False
@@ -56,30 +56,30 @@
         """Say whether the target holds keys at all."""
         self._keyed = keyed
         if keyed and self._timer is None:
-            self._look()
+            self._check_due()
 
     def target_changed(self) -> None:
         """Another incarnation is there: nothing that was on its way concerns it."""
         self._port.close()
         self._calls.target_changed()
-        self._keeper.begun_unknown(CALL_TRANSIT_S)
+        self._grant_manager.begun_unknown(CALL_TRANSIT_S)
 
-    def hold(self, received: float, *, at_once: bool) -> "Deferred[BeatAnswer]":
+    def respond(self, received: float, *, at_once: bool) -> "Deferred[BeatAnswer]":
         """Answer a heartbeat, which says nothing of keys; note the process that sent it."""
         if self._keyed:
-            self._port.attach().addCallbacks(lambda _: self.give(), self._not_attached)
+            self._port.attach().addCallbacks(lambda _: self.deliver(), self._not_attached)
         return succeed(BeatAnswer())
 
     def _not_attached(self, failure: Failure) -> None:
         failure.trap(ServerUnreachable)
         self._log.decided(
-            "target_not_reached", failure=True, target=self._keeper.target,
+            "target_not_reached", failure=True, target=self._grant_manager.target,
             error=failure.getErrorMessage(),
         )  # fmt: skip
 
-    def give(self) -> None:
+    def deliver(self) -> None:
         """Make the calls that are due."""
-        if not self._keyed or not self._keeper.target:
+        if not self._keyed or not self._grant_manager.target:
             return
         for call in self._calls.due(boot_time(), attached=self._port.attached):
             if isinstance(call, GrantCall):
@@ -87,14 +87,14 @@
             else:
                 self._release(call)
 
-    def _look(self) -> None:
-        self._timer = self._reactor.callLater(LOOK_S, self._look)
-        self.give()
+    def _check_due(self) -> None:
+        self._timer = self._reactor.callLater(CHECK_INTERVAL_S, self._check_due)
+        self.deliver()
 
     # -- grants -------------------------------------------------------------------------
 
     def _grant(self, call: GrantCall) -> None:
-        target = self._keeper.target
+        target = self._grant_manager.target
         if call.first_time:
             self._log.decided(
                 "grant_sent", target=target, first=call.row.first, last=call.row.last,
@@ -102,14 +102,14 @@
             )  # fmt: skip
         send_by = call.hold.sent + CALL_SENT_S
         self._port.grant(target, call.row, call.hold_s, send_by).addCallback(
-            self._grant_answered, call, target
+            self._grant_replied, call, target
         )
 
-    def _grant_answered(self, reply: GrantReply, call: GrantCall, target: str) -> None:
+    def _grant_replied(self, reply: GrantReply, call: GrantCall, target: str) -> None:
         if reply.verdict is GrantVerdict.TAKEN:
             if self._calls.granted(call) and call.first_time:
                 self._on_granted(call.row.first, call.row.last)
-            self.give()
+            self.deliver()
             return
         if reply.verdict is GrantVerdict.UNANSWERED:
             self._calls.unanswered(call)
@@ -117,14 +117,14 @@
             self._calls.not_sent(call)
         else:
             self._calls.refused(call, boot_time())
-        key_map = self._keeper.key_map
+        key_map = self._grant_manager.key_map
         self._log.decided(
             "grant_not_taken", failure=True, target=target, reply=reply.verdict.value,
             detail=reply.detail, first=call.row.first, last=call.row.last, fence=call.row.fence,
             map=key_map.version if key_map is not None else 0,
         )  # fmt: skip
         if reply.verdict is GrantVerdict.NEWER_SEEN:
-            self._on_behind()
+            self._on_map_outdated()
         if reply.other_target:
             self._on_other_target(target)
 
@@ -133,25 +133,25 @@
     def _release(self, call: ReleaseCall) -> None:
         sent = boot_time()
         self._log.decided(
-            "release_sent", target=self._keeper.target, first=call.row.first,
+            "release_sent", target=self._grant_manager.target, first=call.row.first,
             last=call.row.last, fence=call.row.fence,
         )  # fmt: skip
-        answer = self._port.release(self._keeper.target, call.row)
-        answer.addCallback(self._release_answered, call, sent)
+        answer = self._port.release(self._grant_manager.target, call.row)
+        answer.addCallback(self._release_replied, call, sent)
 
-    def _release_answered(self, reply: ReleaseReply, call: ReleaseCall, sent: float) -> None:
+    def _release_replied(self, reply: ReleaseReply, call: ReleaseCall, sent: float) -> None:
         took_s = round(boot_time() - sent, 3)
         if not reply.released:
             self._calls.release_unanswered(call)
             self._log.decided(
-                "release_unanswered", failure=True, target=self._keeper.target,
+                "release_unanswered", failure=True, target=self._grant_manager.target,
                 first=call.row.first, last=call.row.last, fence=call.row.fence, took_s=took_s,
                 detail=reply.detail,
             )  # fmt: skip
             return
         if self._calls.released(call, reply.token):
             self._log.decided(
-                "keys_released", target=self._keeper.target, first=call.row.first,
+                "keys_released", target=self._grant_manager.target, first=call.row.first,
                 last=call.row.last, fence=call.row.fence, took_s=took_s,
             )  # fmt: skip
             self._on_released()
--- a/packages/daemon/src/pearward_daemon/mesh/crash_control.py
+++ b/packages/daemon/src/pearward_daemon/mesh/crash_control.py
@@ -28,13 +28,13 @@
         directory: Directory,
         log: DecisionLog,
         send: Callable[[str, ControlMessage], None],
-        keep: Callable[[CrashRecord], None],
+        store_record: Callable[[CrashRecord], None],
     ) -> None:
         self._settings = settings
         self._directory = directory
         self._log = log
         self._send = send
-        self._keep = keep
+        self._store_record = store_record
         self._quarantine = Quarantine(settings.quarantine)
 
     @property
@@ -45,7 +45,7 @@
     def crashed_here(self, record: CrashRecord) -> None:
         """The target beside this daemon has crashed: let the others know."""
         self._learn(record, "seen here")
-        self._keep(record)
+        self._store_record(record)
         message = TargetCrashed(record.target, record.contents)
         for member in self._directory.members:
             elsewhere = member.instance != self._settings.instance
--- a/packages/daemon/src/pearward_daemon/mesh/crash_entries.py
+++ b/packages/daemon/src/pearward_daemon/mesh/crash_entries.py
@@ -14,12 +14,12 @@
 __all__ = ["CrashEntries"]
 
 FIRST_RETRY_S = 0.2
-LAST_RETRY_S = 5.0
+MAX_RETRY_S = 5.0
 """Pauses after a failed call double up to this: nothing waits for the entry but daemons that
 start, and after a crash of many targets many daemons write one."""
-SHORTEST_LEASE_S = 1.0
+MIN_LEASE_S = 1.0
 """Seconds of a lease, at least: the store grants none below."""
-GIVEN_UP_S = 120.0
+WRITE_TIMEOUT_S = 120.0
 """Seconds after which an entry is not written any more: the store has been away for so long that
 every daemon beside the service's targets has heard of the crash from this one, or has gone."""
 
@@ -68,8 +68,8 @@
     async def _write(self, record: CrashRecord, noticed_at: float) -> None:
         began = boot_time()
         retry_s = FIRST_RETRY_S
-        while boot_time() - began < GIVEN_UP_S:
-            left_s = max(SHORTEST_LEASE_S, noticed_at + self._lasts_s - boot_time())
+        while boot_time() - began < WRITE_TIMEOUT_S:
+            left_s = max(MIN_LEASE_S, noticed_at + self._lasts_s - boot_time())
             try:
                 # The entry and its lease are two calls; a lease without an entry just runs out.
                 lease = await self._store.grant_lease(left_s)
@@ -83,4 +83,4 @@
                     "crash_not_recorded", failure=True, target=record.target, error=str(error)
                 )
             await sleep(self._reactor, retry_s)
-            retry_s = min(LAST_RETRY_S, retry_s * 2)
+            retry_s = min(MAX_RETRY_S, retry_s * 2)
--- a/packages/daemon/src/pearward_daemon/mesh/crash_guard.py
+++ b/packages/daemon/src/pearward_daemon/mesh/crash_guard.py
@@ -15,10 +15,10 @@
 
 from .log import DecisionLog
 
-__all__ = ["Barred", "CrashGuard", "GuardedRequest"]
+__all__ = ["CrashGuard", "GuardedRequest", "QuarantineRejection"]
 
 
-_LEFT_OFF = frozenset({Reason.SERVER_FAILED, Reason.CANCELLED, Reason.DEADLINE})
+_ABORTED_REASONS = frozenset({Reason.SERVER_FAILED, Reason.CANCELLED, Reason.DEADLINE})
 """Ends of requests that the target may have been working on until then."""
 
 
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Barred:
+class QuarantineRejection:
     """Why a request may not run, and when its caller may come back."""
 
     detail: str
@@ -51,9 +51,9 @@
         self._log = log
         self._on_crash = on_crash
         self._broken = BrokenExchanges()
-        self._ran: set[str] = set()
+        self._completed: set[str] = set()
         """Contents that crashes were held against until the present target ran them to an end."""
-        self._alone: GuardedRequest | None = None
+        self._running_suspect: GuardedRequest | None = None
         """The one suspected request that the target runs."""
 
     @property
@@ -63,7 +63,9 @@
 
     # -- requests -----------------------------------------------------------------
 
-    def barred(self, request: GuardedRequest, usual_s: float, now: float) -> Barred | None:
+    def barred(
+        self, request: GuardedRequest, usual_s: float, now: float
+    ) -> QuarantineRejection | None:
         """Return why a request may not be sent to the target now; None where it may.
 
         A suspected one is taken for running from then on. *usual_s* is the time in s that the
@@ -76,11 +78,13 @@
             case Standing.FREE:
                 return None
             case Standing.REFUSED:
-                return Barred(f"content {content}", self._quarantine.left_s(content, now))
+                return QuarantineRejection(
+                    f"content {content}", self._quarantine.left_s(content, now)
+                )
             case Standing.ALONE:
-                if self._alone is not None and self._alone is not request:
-                    return Barred("another suspected request runs", usual_s)
-                self._alone = request
+                if self._running_suspect is not None and self._running_suspect is not request:
+                    return QuarantineRejection("another suspected request runs", usual_s)
+                self._running_suspect = request
                 return None
 
     def ended(
@@ -92,33 +96,33 @@
         now: float,
     ) -> str:
         """Take the end of a request; return its content where it was at the target till then."""
-        if self._alone is request:
-            self._alone = None
+        if self._running_suspect is request:
+            self._running_suspect = None
         if outcome is Outcome.SERVED:
             self._broken.answered(now)
-            self._note_ran(request)
+            self._note_completed(request)
             return ""
-        if outcome is not Outcome.UNKNOWN or reason not in _LEFT_OFF:
+        if outcome is not Outcome.UNKNOWN or reason not in _ABORTED_REASONS:
             return ""
         content = request.content
         by_target = reason is Reason.SERVER_FAILED
         self._broken.broke(BrokenExchange(request_id, content, now, by_target))
         return content
 
-    def _note_ran(self, request: GuardedRequest) -> None:
+    def _note_completed(self, request: GuardedRequest) -> None:
         """Clear a request that the target has run to an end."""
         if self._quarantine and self._quarantine.ran(request.content):
-            self._ran.add(request.content)
+            self._completed.add(request.content)
 
     # -- the target -----------------------------------------------------------------
 
-    def target_listens(self, now: float) -> None:
+    def target_listening(self, now: float) -> None:
         """A connection to the target could be made: it lives."""
         self._broken.answered(now)
 
     def target_began(self) -> None:
         """Another incarnation of the target is beside this daemon."""
-        self._ran.clear()
+        self._completed.clear()
 
     def target_left(self, now: float) -> None:
         """The target ended after it had said so: what broke off does not tell anything."""
@@ -132,6 +136,8 @@
             requests=[exchange.request_id for exchange in broken],
             contents=[exchange.content for exchange in broken],
         )  # fmt: skip
-        contents = tuple(dict.fromkeys(b.content for b in broken if b.content not in self._ran))
+        contents = tuple(
+            dict.fromkeys(b.content for b in broken if b.content not in self._completed)
+        )
         if contents:
             self._on_crash(CrashRecord(target, unix_now, contents))
--- a/packages/daemon/src/pearward_daemon/mesh/drain_control.py
+++ b/packages/daemon/src/pearward_daemon/mesh/drain_control.py
@@ -19,7 +19,7 @@
 
 __all__ = ["DrainControl"]
 
-InForce = Callable[[Mapping[str, float]], None]
+OnChange = Callable[[Mapping[str, float]], None]
 """Takes the drained failure domains, and since when each is, after each change."""
 
 
@@ -27,12 +27,12 @@
     """The drains of failure domains, read strictly and put in force."""
 
     def __init__(
-        self, known_domains: frozenset[str], dialect: Dialect, log: DecisionLog, in_force: InForce
+        self, known_domains: frozenset[str], dialect: Dialect, log: DecisionLog, on_change: OnChange
     ) -> None:
         self._known_domains = known_domains
         self._dialect = dialect
         self._log = log
-        self._in_force = in_force
+        self._on_change = on_change
         self._view = DrainView()
 
     @property
@@ -43,7 +43,7 @@
     def entries_read(self, items: Iterable[KeyValue], revision: int) -> None:
         """Take all entries as they were read at once."""
         domains = [d for item in items if (d := self._domain(item.key, item.value)) is not None]
-        self._put_in_force(self._view.read(domains, revision, boot_time()), "read")
+        self._apply(self._view.read(domains, revision, boot_time()), "read")
 
     def entry_changed(self, event: WatchEvent) -> None:
         """Take one changed entry; one that cannot be read changes nothing."""
@@ -52,7 +52,7 @@
             return
         drained = event.value is not None
         changed = self._view.changed(domain, event.revision, boot_time(), drained=drained)
-        self._put_in_force(changed, "watched")
+        self._apply(changed, "watched")
 
     def complete_to(self, revision: int) -> None:
         """All changes up to a revision have been taken."""
@@ -60,7 +60,7 @@
 
     def told(self, state: DomainDrains) -> None:
         """Take what another daemon knows, if that is newer."""
-        self._put_in_force(self._view.told(state, boot_time()), "told by another daemon")
+        self._apply(self._view.told(state, boot_time()), "told by another daemon")
 
     def _domain(self, key: str, value: bytes | None) -> str | None:
         """Return the failure domain of an entry, or None where it names none to drain."""
@@ -76,11 +76,11 @@
             return None
         return domain
 
-    def _put_in_force(self, changed: bool, how: str) -> None:
+    def _apply(self, changed: bool, how: str) -> None:
         if not changed:
             return
         state = self._view.state
         self._log.decided(
             "drains_in_force", domains=sorted(state.domains), revision=state.revision, how=how
         )
-        self._in_force(self._view.since)
+        self._on_change(self._view.since)
--- a/packages/daemon/src/pearward_daemon/mesh/grant_delivery.py
+++ b/packages/daemon/src/pearward_daemon/mesh/grant_delivery.py
@@ -18,8 +18,8 @@
     def target_changed(self) -> None:
         """Another incarnation of the target is there."""
 
-    def hold(self, received: float, *, at_once: bool) -> "Deferred[BeatAnswer]":
+    def respond(self, received: float, *, at_once: bool) -> "Deferred[BeatAnswer]":
         """Return the answer to a heartbeat that was received at *received*."""
 
-    def give(self) -> None:
+    def deliver(self) -> None:
         """Tell the target now what has changed of its keys."""
--- a/packages/daemon/src/pearward_daemon/mesh/key_map_entry.py
+++ b/packages/daemon/src/pearward_daemon/mesh/key_map_entry.py
@@ -23,11 +23,11 @@
 
 __all__ = ["KeyMapEntry"]
 
-ERAS_MARKED = 8
+MARKED_ERAS = 8
 """Eras of the store, up to the present one, that are marked when one begins: a write may be done
 some seconds after it was sent, and the store may go back twice in that time."""
 
-MakeAnew = Callable[[int], KeyMap | None]
+RebuildMap = Callable[[int], KeyMap | None]
 """Takes a number that is above all versions and fences ever given; returns a map under it, or None
 while somebody may yet hold keys by a former one."""
 
@@ -52,11 +52,11 @@
         self._revision = 0
         """Revision of the entry in the store; 0 while it is not known."""
 
-    def forget(self) -> None:
+    def invalidate(self) -> None:
         """Read the entry anew before anything is planned by it."""
         self._revision = 0
 
-    async def read(self, make_anew: MakeAnew, *, told: bool) -> KeyMap | None:
+    async def read(self, rebuild_map: RebuildMap, *, told: bool) -> KeyMap | None:
         """Return the map as the store has it, or None; read once, then known by its revision.
 
         A map of an earlier era of the store, or an older one than is known here, is written anew
@@ -74,7 +74,7 @@
             found = self._decoded(item) if item is not None else None
         except InvalidRecord as error:
             assert item is not None
-            return await self._restored(known, item, make_anew, error, era)
+            return await self._restored(known, item, rebuild_map, error, era)
         newest = max(filter(None, (known, found)), key=lambda m: m.version, default=None)
         if newest is None:
             return None
@@ -90,7 +90,7 @@
         )  # fmt: skip
         self._revision = item.revision if item is not None else 0
         if not current:
-            return await self._numbered_anew(newest, era, "the store went back")
+            return await self._renumbered(newest, era, "the store went back")
         self._maps.adopt(newest)
         self._spread(newest)
         return newest
@@ -105,7 +105,7 @@
         self,
         known: KeyMap | None,
         item: KeyValue,
-        make_anew: MakeAnew,
+        rebuild_map: RebuildMap,
         error: InvalidRecord,
         era: int,
     ) -> KeyMap:
@@ -120,14 +120,14 @@
         )  # fmt: skip
         self._revision = item.revision
         if known is not None:
-            return await self._numbered_anew(known, era, "restored")
-        restored = make_anew(next_number(first_of(era) + counted(item.revision), era))
+            return await self._renumbered(known, era, "restored")
+        restored = rebuild_map(next_number(first_of(era) + counted(item.revision), era))
         if restored is None:
             raise PlatformUnavailable(f"{item.key} cannot be read, and no map is known") from error
         await self.write(restored, "restored")
         return restored
 
-    async def _numbered_anew(self, key_map: KeyMap, era: int, why: str) -> KeyMap:
+    async def _renumbered(self, key_map: KeyMap, era: int, why: str) -> KeyMap:
         """Write a map that the store does not have, or has from an earlier era, once more."""
         number = next_number(key_map.version, era)
         renewed = replace(
@@ -140,7 +140,7 @@
     async def write(self, planned: KeyMap, why: str) -> None:
         """Write a map, act on it and tell the others; raises what the store raises."""
         era = planned.era
-        marks = range(max(1, era - ERAS_MARKED + 1), era + 1) if self._begins(planned) else ()
+        marks = range(max(1, era - MARKED_ERAS + 1), era + 1) if self._starts_era(planned) else ()
         self._revision = await self._store.commit(
             # A write that is done only after the store went back must not replace a later map,
             # though its condition holds: revisions are given out again.
@@ -158,7 +158,7 @@
         self._maps.adopt(planned)
         self._spread(planned)
 
-    def _begins(self, planned: KeyMap) -> bool:
+    def _starts_era(self, planned: KeyMap) -> bool:
         """Return whether a map is the first one here in an era of the store."""
         known = self._maps.of(self._service)
         return known is None or known.era < planned.era
--- a/packages/daemon/src/pearward_daemon/mesh/key_planner.py
+++ b/packages/daemon/src/pearward_daemon/mesh/key_planner.py
@@ -47,36 +47,36 @@
 
 TICK_S = 0.2
 REPORT_INTERVAL_S = 0.4
-REPORT_AGE_S = 2.0
+MAX_REPORT_AGE_S = 2.0
 """A report is used this long: five intervals."""
-SETTLE_S = 1.0
+FIRST_MAP_DELAY_S = 1.0
 """Seconds after the first owner is known before the first map is made: targets beat within."""
-RESTART_SILENT_S = 4.0
+RESTART_SILENCE_S = 4.0
 """The same after a planned stop: a daemon that ended stands again after 1.4 s, and reports
 when its target has beaten, up to 0.9 s later; what else is lost then waits as long."""
-ROOM = 0.75
+MAX_UTILISATION = 0.75
 """Utilisation of the owners that stay up to which they take the keys of one whose daemon is
 stopped: two moves rest its keys for a second in all, staying rests them for two and a half,
 and beyond this everybody's requests wait."""
-LEAST_SPEED, MOST_SPEED = 0.4, 2.5
+MIN_RELATIVE_SPEED, MAX_RELATIVE_SPEED = 0.4, 2.5
 """Speeds of targets of one service, over their mean, beyond which a measured speed is not
 believed: targets seen so far run at 0.6 to 1.6, and slow ones for some seconds at less."""
-WITNESS_GONE_S = 6.0
+WITNESS_TIMEOUT_S = 6.0
 """Seconds after which an instance without an entry is replaced as a witness."""
-SEEN_INTERVAL_S = 1.0
+MEMBER_SCAN_INTERVAL_S = 1.0
 """Seconds between looks at who is there, for the instances that may be witnesses."""
-SETTLED_LEASES = 1.2
+SETTLE_LEASE_FACTOR = 1.2
 """Leases after which nothing that former witnesses granted can run."""
 ERA_SETTLE_S = 1.5
 """Seconds after the store went back before its maps are written anew: daemons find out with the
 renewal of their lease, write their entries again and report the maps that they know."""
-ASK_INTERVAL_S = 0.4
+QUERY_INTERVAL_S = 0.4
 """Seconds between two questions to the same instance, which may have been lost."""
 GRACE_S = 1.5
 """Seconds after the duty began before anybody is found silent: reports have to arrive first."""
 
 
-def _fitness(member: Member) -> tuple[bool, float, str]:
+def _planner_order(member: Member) -> tuple[bool, float, str]:
     """Return the order in which members take the planner's duty, the first first."""
     leaving = member.stopping or member.state is TargetState.DRAINING
     return leaving, -member.link_mbit_per_s, member.instance
@@ -126,10 +126,10 @@
         self._spread = spread
         self._ask = ask
         self._services: dict[str, _Service] = {}
-        self._on_duty_since: float | None = None
+        self._active_since: float | None = None
         self._registered = False
-        self._holder: Member | None = None
-        self._holder_known_by: tuple[int, bool] = (-1, False)
+        self._active_planner: Member | None = None
+        self._active_planner_inputs: tuple[int, bool] = (-1, False)
         """Revision of the members, and state of the own entry, that the holder follows from."""
         self._seen_at = float("-inf")
         self._seen: dict[str, tuple[str, float]] = {}
@@ -144,7 +144,7 @@
     @property
     def on_duty(self) -> bool:
         """Whether this daemon has the duty."""
-        return self._on_duty_since is not None
+        return self._active_since is not None
 
     def duty_holder(self) -> Member | None:
         """Return the member that has the duty, as this daemon sees it.
@@ -152,16 +152,16 @@
         Leaving ones come last; of the others the one with the fastest link is taken, as each
         map goes from there to every member, and by name where links are alike.
         """
-        known_by = (self._directory.revision, self._registered)
-        if known_by != self._holder_known_by:
-            self._holder_known_by = known_by
+        inputs = (self._directory.revision, self._registered)
+        if inputs != self._active_planner_inputs:
+            self._active_planner_inputs = inputs
             me = self._settings.instance
-            self._holder = min(
+            self._active_planner = min(
                 (m for m in self._directory.registered if m.instance != me or self._registered),
-                key=_fitness,
+                key=_planner_order,
                 default=None,
             )
-        return self._holder
+        return self._active_planner
 
     # -- what becomes known ------------------------------------------------------
 
@@ -197,25 +197,25 @@
     def tick(self, keyed_services: tuple[str, ...], stopping: bool) -> None:
         """Look whether this daemon has the duty, and do what is due."""
         holder = self.duty_holder()
-        mine = holder is not None and holder.instance == self._settings.instance and not stopping
+        active = holder is not None and holder.instance == self._settings.instance and not stopping
         now = boot_time()
         if self._store.era != self._era:
             self._era = self._store.era
             self._era_since = now
-        if mine and self._on_duty_since is None:
-            self._on_duty_since = now
+        if active and self._active_since is None:
+            self._active_since = now
             for service in self._services.values():
-                service.entry.forget()
+                service.entry.invalidate()
                 service.owners_since = None
             self._log.decided("planner_duty_begun", members=len(self._directory.registered))
-        elif not mine and self._on_duty_since is not None:
-            self._on_duty_since = None
+        elif not active and self._active_since is not None:
+            self._active_since = None
             self._log.decided("planner_duty_ended", holder=holder.instance if holder else "")
-        if now - self._seen_at >= SEEN_INTERVAL_S:
+        if now - self._seen_at >= MEMBER_SCAN_INTERVAL_S:
             self._seen_at = now
             for member in self._directory.registered:
                 self._seen[member.instance] = (member.failure_domain, now)
-        if not mine:
+        if not active:
             return
         for name in keyed_services:
             service = self._service(name)
@@ -237,18 +237,18 @@
         now = boot_time()
         told = now - self._era_since >= ERA_SETTLE_S
         try:
-            key_map = await service.entry.read(partial(self._made_anew, service), told=told)
+            key_map = await service.entry.read(partial(self._rebuilt_map, service), told=told)
             if key_map is None:
                 await self._write_first(name, service, now)
                 return
-            self._note_stopping(name, service, now)
+            self._update_stopping(name, service, now)
             silent = frozenset(self._silent_targets(key_map, service, now))
-            planned = self._levelled(key_map, service, silent, now)
+            planned = self._rebalanced(key_map, service, silent, now)
             if planned is None:
                 planned = without_targets(key_map, service.ended)
             why = "moves" if planned is not None else "witnesses"
             if planned is None:
-                planned = self._next_of_era(key_map, service, now)
+                planned = self._next_era_map(key_map, service, now)
                 why = why if planned is None else "the era's keys"
             planned = self._with_witnesses(planned or key_map, service, now)
             if planned.version == key_map.version and planned.witnesses != key_map.witnesses:
@@ -259,13 +259,13 @@
             # Others may yet tell of a newer map: the next look is due in a moment.
             return
         except CasConflict as error:
-            service.entry.forget()
+            service.entry.invalidate()
             self._log.decided("key_map_write_lost", service=name, error=str(error))
         except PlatformError as error:
-            service.entry.forget()
+            service.entry.invalidate()
             self._log.decided("planning_delayed", service=name, error=str(error))
 
-    def _next_of_era(self, key_map: KeyMap, service: _Service, now: float) -> KeyMap | None:
+    def _next_era_map(self, key_map: KeyMap, service: _Service, now: float) -> KeyMap | None:
         """Return the next map once no lease can run by maps of earlier eras, or None."""
         if not key_map.unsettled:
             if not has_former_fences(key_map):
@@ -274,7 +274,7 @@
         instances = self._instances(key_map, now)
         if service.former.are_over(key_map, instances):
             return settled(key_map, self._owners(key_map.service, service, now))
-        if now - service.former_asked_at >= ASK_INTERVAL_S:
+        if now - service.former_asked_at >= QUERY_INTERVAL_S:
             service.former_asked_at = now
             ask = AskRelease(key_map.service, "", key_map.version)
             for instance in service.former.waits_for(key_map, instances):
@@ -287,9 +287,9 @@
         A witness that has no entry may be cut off: it is waited for as long as for an entry
         that lapsed.
         """
-        assert self._on_duty_since is not None
-        found = {i for i, (_, seen) in self._seen.items() if now - seen <= WITNESS_GONE_S}
-        if now - self._on_duty_since <= WITNESS_GONE_S:
+        assert self._active_since is not None
+        found = {i for i, (_, seen) in self._seen.items() if now - seen <= WITNESS_TIMEOUT_S}
+        if now - self._active_since <= WITNESS_TIMEOUT_S:
             found.update(name for row in key_map.witnesses for names in row.sets for name in names)
         return frozenset(found)
 
@@ -298,7 +298,7 @@
         if reply.released:
             self._service(reply.cell).former.over_at(instance, reply.version)
 
-    def _made_anew(self, service: _Service, fence: int) -> KeyMap | None:
+    def _rebuilt_map(self, service: _Service, fence: int) -> KeyMap | None:
         """Return a first map once it is sure that nobody holds keys by a former one.
 
         Whoever holds keys has a lease, and all who renew it know the former map and tell its
@@ -329,7 +329,7 @@
             return
         if service.owners_since is None:
             service.owners_since = now
-        if now - service.owners_since >= SETTLE_S:
+        if now - service.owners_since >= FIRST_MAP_DELAY_S:
             era = self._store.era
             first = replace(first_map(name, owners, era), unsettled=era > 0)
             planned = self._with_witnesses(first, service, now)
@@ -349,15 +349,15 @@
             if self._directory.is_drained(member.failure_domain):
                 continue
             report, age = self._report(service, member.target, now)
-            if report is None or age > REPORT_AGE_S:
+            if report is None or age > MAX_REPORT_AGE_S:
                 if self._directory.is_registered(member.target):
                     owners.append(KeyOwner(member.target, mean or float(member.slots)))
                 continue
             if report.draining:
                 continue
             # What a cold target bears is a limit that is set, not a speed that is measured.
-            least = 0.0 if member.cold_until > unix_time() else mean * LEAST_SPEED
-            capacity = min(max(report.capacity, least), mean * MOST_SPEED)
+            least = 0.0 if member.cold_until > unix_time() else mean * MIN_RELATIVE_SPEED
+            capacity = min(max(report.capacity, least), mean * MAX_RELATIVE_SPEED)
             # What was granted by a map that the store may have lost tells nothing.
             reported = era_of(report.version) == era_of(self._maps.version(name))
             confirmed = report.confirmed if reported else ()
@@ -371,22 +371,22 @@
         return found[0], now - found[1]
 
     def _mean_capacity(self, service: _Service, now: float) -> float:
-        fresh = [r.capacity for r, at in service.reports.values() if now - at <= REPORT_AGE_S]
+        fresh = [r.capacity for r, at in service.reports.values() if now - at <= MAX_REPORT_AGE_S]
         return sum(fresh) / len(fresh) if fresh else 0.0
 
     # -- plans -----------------------------------------------------------------------------
 
-    def _levelled(
+    def _rebalanced(
         self, key_map: KeyMap, service: _Service, silent: frozenset[str], now: float
     ) -> KeyMap | None:
         """Move keys where a target cannot own any more, or where load is uneven."""
         owners = self._owners(key_map.service, service, now)
         owners = [owner for owner in owners if owner.target not in silent]
         present = {owner.target for owner in owners}
-        unheard = self._unheard(key_map, service, present, now) - silent
-        orphaned = any(r.owner not in present | unheard for r in key_map.ranges)
+        unheard = self._unreported(key_map, service, present, now) - silent
+        unowned = any(r.owner not in present | unheard for r in key_map.ranges)
         # While a map is unsettled, keys that move for their load rest for seconds.
-        if not orphaned and (key_map.unsettled or not service.load.is_due(now)):
+        if not unowned and (key_map.unsettled or not service.load.is_due(now)):
             return None
         load, surged = service.load.look(key_map, now)
         if surged:
@@ -394,7 +394,7 @@
                 "load_surged", service=key_map.service, version=key_map.version,
                 asked=round(sum(row.rate for row in load.rates)),
             )  # fmt: skip
-        if not orphaned and not service.load.may_move(now):
+        if not unowned and not service.load.may_move(now):
             return None
         planned = plan_moves(
             key_map, owners, load, frozenset(service.ended), self._limits, fixed=unheard
@@ -405,7 +405,7 @@
         asked = rates_by_owner(key_map, load.rates)
         self._log.decided(
             "keys_moved", service=key_map.service, version=planned.version,
-            why="owners lost or leaving" if orphaned else "uneven load", silent=sorted(silent),
+            why="owners lost or leaving" if unowned else "uneven load", silent=sorted(silent),
             unheard=len(unheard), asked_and_can={
                 o.target: [round(asked.get(o.target, 0.0)), round(o.capacity)]
                 for o in owners
@@ -413,7 +413,7 @@
         )  # fmt: skip
         return planned
 
-    def _unheard(
+    def _unreported(
         self, key_map: KeyMap, service: _Service, present: set[str], now: float
     ) -> frozenset[str]:
         """Return owners of which nothing is known yet: they may be about to report."""
@@ -421,7 +421,7 @@
         for target in key_map.targets - present - service.ended:
             member = self._directory.member_of(target)
             report, age = self._report(service, target, now)
-            fresh = report is not None and age <= REPORT_AGE_S
+            fresh = report is not None and age <= MAX_REPORT_AGE_S
             if member is not None and member.state is TargetState.DRAINING:
                 continue
             if member is not None and self._directory.is_drained(member.failure_domain):
@@ -436,48 +436,48 @@
 
     def _silent_targets(self, key_map: KeyMap, service: _Service, now: float) -> list[str]:
         """Return targets whose daemons stopped reporting, or never reported and are gone."""
-        assert self._on_duty_since is not None
-        if now - self._on_duty_since < GRACE_S + self._settings.silent_s:
+        assert self._active_since is not None
+        if now - self._active_since < GRACE_S + self._settings.silent_s:
             return []
         silent: list[str] = []
         for target in key_map.targets:
             if target in service.ended:
                 continue
             report, age = self._report(service, target, now)
-            if report is not None and age < self._patience_s(target, service):
+            if report is not None and age < self._silence_limit_s(target, service):
                 continue
             if report is None and self._directory.is_registered(target):
                 continue
             silent.append(target)
         return silent
 
-    def _patience_s(self, target: str, service: _Service) -> float:
+    def _silence_limit_s(self, target: str, service: _Service) -> float:
         """Return the seconds without a report after which an owner loses its keys."""
         waits = service.stopping.get(target) is False
-        return RESTART_SILENT_S if waits else self._settings.silent_s
+        return RESTART_SILENCE_S if waits else self._settings.silent_s
 
-    def _note_stopping(self, name: str, service: _Service, now: float) -> None:
+    def _update_stopping(self, name: str, service: _Service, now: float) -> None:
         """Decide once for each planned stop whether its target's keys go elsewhere meanwhile.
 
         Who has only just got the duty decides when the owners' reports have had time to come.
         """
-        assert self._on_duty_since is not None
-        informed = now - self._on_duty_since >= GRACE_S
+        assert self._active_since is not None
+        informed = now - self._active_since >= GRACE_S
         for member in self._directory.members:
             if member.service != name:
                 continue
             if not member.stopping:
                 if service.stopping.pop(member.target, None) is not None:
-                    self._back(service, member.target, now)
+                    self._note_restarted(service, member.target, now)
             elif informed and member.target not in service.stopping:
-                room = self._room_without(service, member.target, now)
+                room = self._has_capacity_without(service, member.target, now)
                 service.stopping[member.target] = room
                 self._log.decided(
                     "planned_stop_seen", target=member.target, keys_move=room, service=name,
                 )  # fmt: skip
 
     @staticmethod
-    def _back(service: _Service, target: str, now: float) -> None:
+    def _note_restarted(service: _Service, target: str, now: float) -> None:
         """Take the new entry of a daemon that was stopped for a sign of life.
 
         Its first report follows a moment later; by the last one before the stop it would be
@@ -487,7 +487,7 @@
         if found is not None:
             service.reports[target] = (found[0], now)
 
-    def _room_without(self, service: _Service, target: str, now: float) -> bool:
+    def _has_capacity_without(self, service: _Service, target: str, now: float) -> bool:
         """Return whether the owners that stay can run what is asked of all."""
         asked = service.load.rate(now)
         can = sum(
@@ -495,10 +495,10 @@
             for other, (report, at) in service.reports.items()
             if other != target
             and other not in service.stopping
-            and now - at <= REPORT_AGE_S
+            and now - at <= MAX_REPORT_AGE_S
             and self._directory.drained_since(other) is None
         )
-        return asked <= can * ROOM
+        return asked <= can * MAX_UTILISATION
 
     # -- witnesses -------------------------------------------------------------------
 
@@ -507,7 +507,7 @@
         candidates = [
             WitnessCandidate(instance, domain)
             for instance, (domain, seen) in sorted(self._seen.items())
-            if now - seen <= WITNESS_GONE_S
+            if now - seen <= WITNESS_TIMEOUT_S
         ]
         instances = {m.target: m.instance for m in self._directory.members if m.target}
         return with_witnesses(key_map, candidates, instances, self._settled(key_map, service, now))
@@ -518,11 +518,11 @@
         for target in key_map.targets:
             report, age = self._report(service, target, now)
             joint = len(key_map.witnesses_of(target)) > 1
-            current = report is not None and age <= REPORT_AGE_S
+            current = report is not None and age <= MAX_REPORT_AGE_S
             if not joint or report is None or not current or report.version < key_map.version:
                 service.confirmed_at.pop(target, None)
                 continue
             since = service.confirmed_at.setdefault(target, now)
-            if now - since > self._settings.holds.lease.lease_s * SETTLED_LEASES:
+            if now - since > self._settings.holds.lease.lease_s * SETTLE_LEASE_FACTOR:
                 settled.add(target)
         return frozenset(settled)
--- a/packages/daemon/src/pearward_daemon/mesh/target_lease.py
+++ b/packages/daemon/src/pearward_daemon/mesh/target_lease.py
@@ -27,7 +27,7 @@
 
 __all__ = ["TargetLease", "Witnesses"]
 
-ASK_AFTER_S = 0.5
+QUERY_DELAY_S = 0.5
 """Seconds for which only the former owner's own daemon is asked to let keys go."""
 
 Send = Callable[[str, ControlMessage], None]
@@ -40,34 +40,34 @@
         self._timing = timing
         self._maps = key_maps
         self._started = boot_time()
-        self._read_in: int | None = None
+        self._read_era: int | None = None
         """Era of the store in which this life first read the key maps; None before."""
         self._by_service: dict[str, TargetWitness] = {}
 
     def maps_read(self, era: int) -> None:
         """The key maps were read from the store, in an era of it."""
-        if self._read_in is not None:
+        if self._read_era is not None:
             return
-        self._read_in = era
+        self._read_era = era
         for witness in self._by_service.values():
             witness.map_read(era)
 
-    def renew(self, ask: Renew) -> RenewReply:
+    def renew(self, request: Renew) -> RenewReply:
         """Decide on a renewal."""
-        known = self._maps.version(ask.cell)
-        return self._witness(ask.cell).on_renew(ask, known, boot_time())
+        known = self._maps.version(request.cell)
+        return self._witness(request.cell).on_renew(request, known, boot_time())
 
-    def release(self, ask: AskRelease) -> ReleaseReply:
+    def release(self, request: AskRelease) -> ReleaseReply:
         """Say whether an owner's lease is over."""
-        known = self._maps.version(ask.cell)
-        return self._witness(ask.cell).on_ask_release(ask, known, boot_time())
+        known = self._maps.version(request.cell)
+        return self._witness(request.cell).on_ask_release(request, known, boot_time())
 
     def _witness(self, service: str) -> TargetWitness:
         witness = self._by_service.get(service)
         if witness is None:
             witness = self._by_service[service] = TargetWitness(self._started, self._timing.lease)
-            if self._read_in is not None:
-                witness.map_read(self._read_in)
+            if self._read_era is not None:
+                witness.map_read(self._read_era)
         return witness
 
 
@@ -89,7 +89,7 @@
         self._instance = instance
         self._service = service
         self._timing = timing
-        self._keeper = keeper
+        self._grant_manager = keeper
         self._maps = key_maps
         self._directory = directory
         self._witnesses = witnesses
@@ -97,7 +97,7 @@
         self._send = send
         self._lease = OwnerLease(timing.lease)
         self._target = ""
-        self._set: tuple[str, ...] = ()
+        self._witness_set: tuple[str, ...] = ()
         self._held = False
         self._pending_since: dict[str, float] = {}
         self._released: dict[tuple[str, int], set[str]] = {}
@@ -108,46 +108,46 @@
         """Ask all witnesses for a renewal; return whether the lease was regained by that."""
         now = boot_time()
         key_map = self._maps.of(self._service)
-        target = self._keeper.target
+        target = self._grant_manager.target
         if key_map is None or not target:
             return False
-        self._use_set(key_map, target, now)
-        for name in self._set:
+        self._update_witnesses(key_map, target, now)
+        for name in self._witness_set:
             nonce = self._lease.renewal_sent(name, now)
-            ask = Renew(self._service, nonce, key_map.version, 0, 0, target)
+            request = Renew(self._service, nonce, key_map.version, 0, 0, target)
             if name == self._instance:
-                self._count(name, self._witnesses.renew(ask), now)
+                self._count_renewal(name, self._witnesses.renew(request), now)
             elif (member := self._directory.instance(name)) is not None:
-                self._send(member.peer_address, ask)
-        return self._changed(now)
+                self._send(member.peer_address, request)
+        return self._update_held(now)
 
-    def _use_set(self, key_map: KeyMap, target: str, now: float) -> None:
+    def _update_witnesses(self, key_map: KeyMap, target: str, now: float) -> None:
         """Count on the set in force, and on nothing that was granted to another target."""
         if target != self._target:
             self._target = target
             self._lease = OwnerLease(self._timing.lease)
-            self._set = ()
+            self._witness_set = ()
         sets = key_map.witnesses_of(target)
         current = sets[0] if sets else ()
-        if current != self._set:
-            self._set = current
+        if current != self._witness_set:
+            self._witness_set = current
             self._lease.set_witnesses([current], now)
-            self._keeper.lease_until(self._lease.valid_until)
+            self._grant_manager.lease_until(self._lease.valid_until)
 
     def renewed(self, sender: PeerId, reply: RenewReply) -> bool:
         """Take a witness's answer; return whether the lease was regained by it."""
         now = boot_time()
         name = self._name_of(sender.address)
         if name is not None and reply.owner == self._target:
-            self._count(name, reply, now)
-        return self._changed(now)
+            self._count_renewal(name, reply, now)
+        return self._update_held(now)
 
-    def _count(self, name: str, reply: RenewReply, now: float) -> None:
+    def _count_renewal(self, name: str, reply: RenewReply, now: float) -> None:
         if reply.granted:
             self._lease.renewal_granted(name, reply.nonce, now)
-            self._keeper.lease_until(self._lease.valid_until)
+            self._grant_manager.lease_until(self._lease.valid_until)
 
-    def _changed(self, now: float) -> bool:
+    def _update_held(self, now: float) -> bool:
         """Log a lease that was gained or lost; return whether it was gained."""
         held = self._lease.held(now)
         if held == self._held:
@@ -155,13 +155,13 @@
         self._held = held
         self._log.decided(
             "lease_held" if held else "lease_run_out", failure=not held, target=self._target,
-            witnesses=list(self._set), ends_in_s=round(self._lease.valid_until - now, 3)
+            witnesses=list(self._witness_set), ends_in_s=round(self._lease.valid_until - now, 3)
             if held else 0.0,
         )  # fmt: skip
         return held
 
     def _name_of(self, address: str) -> str | None:
-        for name in self._set:
+        for name in self._witness_set:
             member = self._directory.instance(name)
             if member is not None and member.peer_address == address:
                 return name
@@ -175,14 +175,14 @@
         key_map = self._maps.of(self._service)
         if key_map is None:
             return
-        waited_for = {p.target for r in self._keeper.pending(now) for p in r.predecessors}
-        self._pending_since = {t: self._pending_since.get(t, now) for t in waited_for}
+        awaited = {p.target for r in self._grant_manager.pending(now) for p in r.predecessors}
+        self._pending_since = {t: self._pending_since.get(t, now) for t in awaited}
         for target, since in self._pending_since.items():
-            if now - since >= ASK_AFTER_S and target != self._keeper.target:
-                self._ask(key_map, target)
+            if now - since >= QUERY_DELAY_S and target != self._grant_manager.target:
+                self._query(key_map, target)
 
-    def _ask(self, key_map: KeyMap, target: str) -> None:
-        ask = AskRelease(self._service, target, key_map.version)
+    def _query(self, key_map: KeyMap, target: str) -> None:
+        request = AskRelease(self._service, target, key_map.version)
         sets = key_map.witnesses_of(target)
         if not sets:
             # Without witnesses the target has never had a lease to hold keys under.
@@ -190,9 +190,9 @@
             return
         for name in {name for names in sets for name in names}:
             if name == self._instance:
-                self._take(name, self._witnesses.release(ask), key_map)
+                self._count_release(name, self._witnesses.release(request), key_map)
             elif (member := self._directory.instance(name)) is not None:
-                self._send(member.peer_address, ask)
+                self._send(member.peer_address, request)
 
     def released(self, sender: PeerId, reply: ReleaseReply) -> bool:
         """Take a witness's answer; return whether keys can be granted by it."""
@@ -204,10 +204,10 @@
         for name in names:
             member = self._directory.instance(name)
             if member is not None and member.peer_address == sender.address:
-                confirmed = self._take(name, reply, key_map) or confirmed
+                confirmed = self._count_release(name, reply, key_map) or confirmed
         return confirmed
 
-    def _take(self, name: str, reply: ReleaseReply, key_map: KeyMap) -> bool:
+    def _count_release(self, name: str, reply: ReleaseReply, key_map: KeyMap) -> bool:
         """Count a release; a majority of each of the target's sets is enough."""
         if not reply.released or reply.version != key_map.version:
             return False
@@ -222,11 +222,11 @@
     def _confirm(self, key_map: KeyMap, target: str) -> bool:
         """The former owner's lease is over: none of the pending keys can be held there."""
         confirmed = 0
-        for pending in self._keeper.pending(boot_time()):
+        for pending in self._grant_manager.pending(boot_time()):
             for predecessor in pending.predecessors:
                 if predecessor.target == target:
                     row = ReleasedRow(pending.first, pending.last, "")
-                    self._keeper.released(Predecessor(target, predecessor.fence), row)
+                    self._grant_manager.released(Predecessor(target, predecessor.fence), row)
                     confirmed += 1
         if confirmed:
             self._log.decided(
--- a/packages/daemon/src/pearward_daemon/mesh/target_request.py
+++ b/packages/daemon/src/pearward_daemon/mesh/target_request.py
@@ -26,12 +26,12 @@
 __all__ = ["TargetRequest"]
 
 MS_PER_S = 1000
-WHOLE_BODY = COUNTED_BODY
+BUFFERED_BODY = COUNTED_BODY
 """A request body up to this length is waited for before the target is troubled with it."""
-HELD_ANSWER = 65_536
+BUFFERED_RESPONSE = 65_536
 """An answer up to this length is passed on only when it is whole."""
 BAD_GATEWAY, UNAVAILABLE, GATEWAY_TIMEOUT = 502, 503, 504
-_PROMISES = frozenset({408, 421, 429, 503})
+_NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 """Statuses that promise that a request has not run."""
 
 
@@ -61,13 +61,13 @@
         self._ticket: SlotTicket | None = None
         self._connection: ServerConnection | None = None
         self._sent = False
-        self._answered = False
+        self._response_started = False
         self._done = False
-        self._held_head: ResponseHead | None = None
-        self._held_body: list[bytes] = []
+        self._buffered_head: ResponseHead | None = None
+        self._buffered_body: list[bytes] = []
         self._facts: AnswerFacts | None = None
         """What the headers of the answer that is coming in say; accepts() reads them."""
-        self._verdict: Reason | None = None
+        self._rejection_reason: Reason | None = None
         """Why the answer that is coming in will not be passed on."""
         self._timer: Any = None
         self._wait_timer: Any = None
@@ -88,9 +88,9 @@
     def content(self) -> str:
         """What it asks for, the same for every id under which it comes."""
         head = self._head
-        named = self._side.named(head.headers)
+        content_headers = self._side.content_headers(head.headers)
         body = self._whole_body or b"".join(self._body)
-        return content_digest(head.method, head.path, named, head.body_length, body)
+        return content_digest(head.method, head.path, content_headers, head.body_length, body)
 
     @property
     def needs_link(self) -> bool:
@@ -98,7 +98,7 @@
         return self._head.request_class is RequestClass.EXPORT and self._reply.passes_link
 
     @property
-    def asked_last(self) -> bool:
+    def is_last_target(self) -> bool:
         """Whether no other target will be asked for a slot."""
         return self._head.last_target
 
@@ -114,7 +114,7 @@
         self._timer = self._side.call_later(
             max(0.0, self._deadline - boot_time()), self._deadline_passed
         )
-        if self._body_ended or not 0 <= self._head.body_length <= WHOLE_BODY:
+        if self._body_ended or not 0 <= self._head.body_length <= BUFFERED_BODY:
             self.admit()
 
     def admit(self) -> None:
@@ -125,7 +125,7 @@
         if barred is Reason.NOT_READY and self._park():
             return
         if barred is not None:
-            self._refuse(barred, retry_after_s=self._side.back_after_s(barred))
+            self._refuse(barred, retry_after_s=self._side.retry_after_s(barred))
             return
         self._cancel_wait()
         if self._ticket is not None:
@@ -149,7 +149,7 @@
             self.start()
         else:
             self._wait_timer = self._side.call_later(
-                self._side.slots.patience_s(ticket), self._waited_too_long
+                self._side.slots.patience_s(ticket), self._queue_wait_expired
             )
 
     def _park(self) -> bool:
@@ -158,16 +158,16 @@
         if patience_s <= 0.0:
             return False
         if self._wait_timer is None:
-            self._wait_timer = self._side.call_later(patience_s, self._key_came_too_late)
+            self._wait_timer = self._side.call_later(patience_s, self._key_wait_expired)
         return True
 
-    def _key_came_too_late(self) -> None:
+    def _key_wait_expired(self) -> None:
         """The former owner takes longer than a caller should wait: let it try again."""
         self._wait_timer = None
         if not self._done and self._ticket is None:
-            self._refuse(Reason.NOT_READY, retry_after_s=self._side.back_after_s(Reason.NOT_READY))
+            self._refuse(Reason.NOT_READY, retry_after_s=self._side.retry_after_s(Reason.NOT_READY))
 
-    def _waited_too_long(self) -> None:
+    def _queue_wait_expired(self) -> None:
         """The queue moves slower than was expected: let the caller try again in time."""
         self._wait_timer = None
         if not self._done and self._ticket is not None and self._ticket.waiting:
@@ -180,7 +180,7 @@
         self._cancel_wait()
         barred = self._side.barred(self._head)
         if barred is not None:
-            self._give_slot_back()
+            self._release_slot()
             self._ticket = None
             self.admit()
             return
@@ -201,14 +201,14 @@
 
     def _refused_by_crashes(self) -> bool:
         """Refuse the request if targets crashed while they ran what it asks for."""
-        barred = self._side.barred_by_crashes(self)
+        barred = self._side.quarantine_rejection(self)
         if barred is not None:
             self._refuse(
                 Reason.QUARANTINED, detail=barred.detail, retry_after_s=barred.back_after_s
             )
         return barred is not None
 
-    def too_late(self) -> None:
+    def waited_too_long(self) -> None:
         """The request waited so long that it could not be answered any more."""
         self._ticket = None
         self._refuse(Reason.DEADLINE)
@@ -221,7 +221,7 @@
         barred = self._side.barred(self._head)
         if barred is not None:
             connection.abort()
-            self._refuse(barred, retry_after_s=self._side.back_after_s(barred))
+            self._refuse(barred, retry_after_s=self._side.retry_after_s(barred))
             return
         if self._refused_as_cold() or self._refused_by_crashes():
             connection.abort()
@@ -271,7 +271,7 @@
             return
         if data:
             self._body.append(data)
-        if ended and 0 <= self._head.body_length <= WHOLE_BODY:
+        if ended and 0 <= self._head.body_length <= BUFFERED_BODY:
             self.admit()
 
     def reset_received(self, code: ResetCode) -> None:
@@ -284,7 +284,7 @@
 
     def writable(self) -> None:
         """The requester can take more of the answer."""
-        if self._connection is not None and self._answered and not self._done:
+        if self._connection is not None and self._response_started and not self._done:
             self._connection.resume()
 
     def _credit(self, count: int) -> None:
@@ -315,8 +315,8 @@
         """The target answers: what is not its own whole answer goes no further."""
         if self._done or self._facts is None:
             return
-        self._verdict = _verdict(status, self._facts)
-        if self._verdict is not None:
+        self._rejection_reason = _rejection_reason(status, self._facts)
+        if self._rejection_reason is not None:
             return
         head = ResponseHead(
             status,
@@ -326,20 +326,20 @@
             body_length=length,
             load=self._side.slots.load(),
         )
-        if length <= HELD_ANSWER:
+        if length <= BUFFERED_RESPONSE:
             # Also where the length is unknown: the part that fits is held back.
-            self._held_head = head
+            self._buffered_head = head
             return
-        self._begin_answer(head)
+        self._start_response(head)
 
     def answer_data(self, data: bytes) -> None:
         """Take a chunk of the answer's body."""
-        if self._done or self._verdict is not None:
+        if self._done or self._rejection_reason is not None:
             return
-        if self._held_head is not None:
-            self._held_body.append(data)
-            if sum(map(len, self._held_body)) > HELD_ANSWER:
-                self._stop_holding()
+        if self._buffered_head is not None:
+            self._buffered_body.append(data)
+            if sum(map(len, self._buffered_body)) > BUFFERED_RESPONSE:
+                self._stop_buffering()
             return
         if not self._reply.send_data(data) and self._connection is not None:
             self._connection.pause()
@@ -348,11 +348,11 @@
         """The target's answer is whole."""
         if self._done:
             return
-        if self._verdict is not None:
-            self._turned_down(self._verdict)
+        if self._rejection_reason is not None:
+            self._reject_response(self._rejection_reason)
             return
-        if self._held_head is not None:
-            self._answer_whole(self._held_head, b"".join(self._held_body))
+        if self._buffered_head is not None:
+            self._send_whole(self._buffered_head, b"".join(self._buffered_body))
         else:
             self._reply.send_data(b"", ended=True)
         self._finish(Outcome.SERVED, None)
@@ -362,21 +362,21 @@
         if not self._done:
             self._fail_after_sent(Reason.SERVER_FAILED, detail)
 
-    def _begin_answer(self, head: ResponseHead) -> None:
+    def _start_response(self, head: ResponseHead) -> None:
         self._cancel_timer()
-        self._answered = True
+        self._response_started = True
         self._reply.respond(head, ended=False)
 
-    def _stop_holding(self) -> None:
+    def _stop_buffering(self) -> None:
         """The answer is longer than what is held back: pass on what is here."""
-        head, self._held_head = self._held_head, None
+        head, self._buffered_head = self._buffered_head, None
         assert head is not None
-        data, self._held_body = b"".join(self._held_body), []
-        self._begin_answer(head)
+        data, self._buffered_body = b"".join(self._buffered_body), []
+        self._start_response(head)
         if not self._reply.send_data(data) and self._connection is not None:
             self._connection.pause()
 
-    def _answer_whole(self, head: ResponseHead, body: bytes) -> None:
+    def _send_whole(self, head: ResponseHead, body: bytes) -> None:
         whole = replace(head, body_length=len(body))
         if len(body) <= SHORT_BODY:
             self._reply.respond(whole, ended=True, body=body)
@@ -384,11 +384,11 @@
             self._reply.respond(whole, ended=False)
             self._reply.send_data(body, ended=True)
 
-    def _turned_down(self, verdict: Reason) -> None:
+    def _reject_response(self, verdict: Reason) -> None:
         """The target's whole answer says that it is not the caller's."""
         if verdict is Reason.TARGET_REFUSED:
             self._sent = False
-            self._refuse(verdict, retry_after_s=self._side.back_after_s(verdict))
+            self._refuse(verdict, retry_after_s=self._side.retry_after_s(verdict))
         else:
             self._fail_after_sent(verdict)
 
@@ -421,7 +421,7 @@
         """Say that the request may have run, or break off an answer that was begun."""
         if self._done:
             return
-        if self._answered:
+        if self._response_started:
             self._reply.reset(ResetCode.BROKEN)
         else:
             self._respond(refusal(Outcome.UNKNOWN, reason, status=status, detail=detail))
@@ -441,7 +441,7 @@
         if timer is not None:
             timer.cancel()
 
-    def _give_slot_back(self, *, measured: bool = False) -> None:
+    def _release_slot(self, *, measured: bool = False) -> None:
         if self._ticket is not None:
             self._side.slots.finished(self._ticket, measured=measured)
             self._ticket = None
@@ -462,15 +462,15 @@
         self._connection = None
         if not self._body_ended:
             self._reply.reset(ResetCode.CANCELLED)
-        self._give_slot_back(measured=outcome is Outcome.SERVED)
+        self._release_slot(measured=outcome is Outcome.SERVED)
         self._side.ended(self, outcome, reason, detail, boot_time() - self._arrived)
 
 
-def _verdict(status: int, facts: AnswerFacts) -> Reason | None:
+def _rejection_reason(status: int, facts: AnswerFacts) -> Reason | None:
     """Return why an answer cannot be passed on as it is, or None."""
     if facts.not_run or (facts.other_target and status == 421):
         return Reason.TARGET_REFUSED
-    if status in _PROMISES:
+    if status in _NOT_RUN_STATUSES:
         # Without the target's word the promise in this status may be false.
         return Reason.TARGET_FAILED
     if not facts.request_id or facts.encoded:
--- a/packages/daemon/src/pearward_daemon/mesh/target_side.py
+++ b/packages/daemon/src/pearward_daemon/mesh/target_side.py
@@ -21,33 +21,33 @@
 from pearward_transport.http_client import ServerClient
 
 from ..exchange import ReplySink
-from .beat_answers import BeatAnswers
+from .beat_answers import HeartbeatResponses
 from .call_delivery import CallDelivery
-from .crash_guard import Barred, CrashGuard
+from .crash_guard import CrashGuard, QuarantineRejection
 from .dialect import AnswerFacts, BeatAnswer, Dialect, GrantPort, TargetBeat, TargetLeave
 from .grant_delivery import GrantDelivery
 from .log import DecisionLog
 from .parked_requests import ParkedRequests
 from .settings import GrantWay, MeshSettings
-from .target_end import END_CHECK_S, TargetEnd
+from .target_end import END_CHECK_S, TerminationDetector
 from .target_request import TargetRequest
 from .target_slots import TargetSlots
 
-__all__ = ["TargetInfo", "TargetSide", "TargetSideListener"]
+__all__ = ["LocalTargetListener", "TargetInfo", "TargetSide"]
 
-LATE_S = 4.0
+HEARTBEAT_TIMEOUT_S = 4.0
 """Seconds without a heartbeat after which a target counts as leaving: they may be late by
 seconds, and a target that is gone is found out sooner by its connections."""
-DRAIN_SHARE = 0.6
+DRAIN_FRACTION = 0.6
 """Part of the drain time in which a leaving target still gets requests that are on their way."""
 MOVED_RETRY_S = 0.05
 """Seconds after which the owner of a key is asked again."""
-COLD_ESTIMATE_S = 1.0
+COLD_ESTIMATE_TOLERANCE_S = 1.0
 """Seconds by which a target's own estimate of its cold time must differ to be told anew."""
-UNREADABLE_KEPT = 64
+MAX_LOGGED_IDS = 64
 """Ids of unreadable heartbeats that are told of: more come from no target."""
 MS_PER_S = 1000
-BACK_S = 1.2
+RESTART_S = 1.2
 """Seconds after which a daemon that ends now serves its target again."""
 
 
@@ -61,7 +61,7 @@
     cold_until: float
 
 
-class TargetSideListener(Protocol):
+class LocalTargetListener(Protocol):
     """What is told of the target beside this daemon."""
 
     def target_info_changed(self, info: TargetInfo | None) -> None:
@@ -96,16 +96,16 @@
         self._dialect = dialect
         self._log = log
         self._client = client
-        self._keeper = GrantKeeper(settings.service, boot_time(), settings.holds)
+        self._grant_manager = GrantKeeper(settings.service, boot_time(), settings.holds)
         self._slots = TargetSlots(settings.overload, link)
         self._counter = KeyCounter()
         self._link = link
         self._open: set[TargetRequest] = set()
         self._parked = ParkedRequests()
         self._guard = guard
-        self._end = TargetEnd(client, self._target_listens, self._target_ended)
-        self._delivery = self._delivery_of(settings.grant_way, grants)
-        self._beats = BeatClock()
+        self._termination = TerminationDetector(client, self._target_listening, self._target_ended)
+        self._delivery = self._make_delivery(settings.grant_way, grants)
+        self._heartbeats = BeatClock()
         self._info: TargetInfo | None = None
         self._keyed = False
         self._drained_since: float | None = None
@@ -113,19 +113,21 @@
         self._silent = False
         self._stopping = False
         self._refusing = False
-        self._listener: TargetSideListener | None = None
+        self._listener: LocalTargetListener | None = None
         self._reported_ended: list[str] = []
         self._slowness = 1.0
         self._unreadable: set[str] = set()
         """Ids whose heartbeats could not be read, told once each."""
 
-    def _delivery_of(self, way: GrantWay, grants: GrantPort) -> GrantDelivery:
-        if way is GrantWay.CALL:
+    def _make_delivery(self, mode: GrantWay, grants: GrantPort) -> GrantDelivery:
+        if mode is GrantWay.CALL:
             return CallDelivery(
-                self._reactor, self._keeper, grants, self._log, self._parked.admit,
-                self._keys_let_go, self._map_wanted, self._other_target_there,
+                self._reactor, self._grant_manager, grants, self._log, self._parked.admit,
+                self._keys_released, self._map_outdated, self._other_target_found,
             )  # fmt: skip
-        return BeatAnswers(self._reactor, self._keeper, self._log, self._parked.admit_all)
+        return HeartbeatResponses(
+            self._reactor, self._grant_manager, self._log, self._parked.admit_all
+        )
 
     # -- properties -------------------------------------------------------------
 
@@ -137,7 +139,7 @@
     @property
     def keeper(self) -> GrantKeeper:
         """What the target may hold."""
-        return self._keeper
+        return self._grant_manager
 
     @property
     def slots(self) -> TargetSlots:
@@ -152,7 +154,7 @@
     @property
     def map_version(self) -> int:
         """Version of the key map that is acted on; 0 before there is one."""
-        key_map = self._keeper.key_map
+        key_map = self._grant_manager.key_map
         return key_map.version if key_map is not None else 0
 
     @property
@@ -170,7 +172,7 @@
         """Requests that are not answered yet."""
         return len(self._open)
 
-    def listen(self, listener: TargetSideListener) -> None:
+    def listen(self, listener: LocalTargetListener) -> None:
         """Tell *listener* of changes from now on."""
         self._listener = listener
         self._reactor.callLater(END_CHECK_S, self._watch_target)
@@ -181,55 +183,64 @@
 
     # -- heartbeats -------------------------------------------------------------------
 
-    def beat(self, beat: TargetBeat) -> "Deferred[BeatAnswer]":
+    def beat(self, heartbeat: TargetBeat) -> "Deferred[BeatAnswer]":
         """Take a heartbeat; its answer may wait for a change of the target's keys."""
         now = boot_time()
-        if beat.service != self._settings.service:
-            self.unreadable_beat(beat.target, f"service {beat.service!r} does not run here")
+        if heartbeat.service != self._settings.service:
+            self.unreadable_beat(
+                heartbeat.target, f"service {heartbeat.service!r} does not run here"
+            )
             return succeed(BeatAnswer())
-        told = self._settings.grant_way is GrantWay.HEARTBEAT
-        sign = BeatSign(beat.target, beat.born_ms, beat.sequence, told and not beat.held)
-        incarnation = self._beats.incarnation_of(sign, now, round(unix_time() * MS_PER_S))
+        by_heartbeat = self._settings.grant_way is GrantWay.HEARTBEAT
+        sign = BeatSign(
+            heartbeat.target,
+            heartbeat.born_ms,
+            heartbeat.sequence,
+            by_heartbeat and not heartbeat.held,
+        )
+        incarnation = self._heartbeats.incarnation_of(sign, now, round(unix_time() * MS_PER_S))
         if incarnation is None:
             return succeed(BeatAnswer())
-        beat = replace(beat, target=incarnation)
-        if self._keeper.has_ended(beat.target) or self._is_from_the_past(beat, now):
+        heartbeat = replace(heartbeat, target=incarnation)
+        if self._grant_manager.has_ended(heartbeat.target) or self._is_stale(heartbeat, now):
             self._log.decided(
-                "late_heartbeat_ignored", target=beat.target, sequence=beat.sequence,
-                present=self._keeper.target, heard_s=round(now - self._beats.last, 3),
+                "late_heartbeat_ignored", target=heartbeat.target, sequence=heartbeat.sequence,
+                present=self._grant_manager.target, heard_s=round(now - self._heartbeats.last, 3),
             )  # fmt: skip
             return succeed(BeatAnswer())
-        self._beats.heard(now)
+        self._heartbeats.heard(now)
         self._silent = False
-        self._end.shown_alive()
-        if beat.target != self._keeper.target:
-            self._target_began(beat)
-        self._keeper.heartbeat(now, beat.held, beat.released)
-        self._slots.cold.told(beat.cold_s, now)
-        self._note_state(beat, now)
-        if beat.released and self._listener is not None:
+        self._termination.heartbeat_received()
+        if heartbeat.target != self._grant_manager.target:
+            self._begin_incarnation(heartbeat)
+        self._grant_manager.heartbeat(now, heartbeat.held, heartbeat.released)
+        self._slots.cold.told(heartbeat.cold_s, now)
+        self._update_state(heartbeat, now)
+        if heartbeat.released and self._listener is not None:
             self._listener.keys_changed()
-        answer = self._delivery.hold(
-            now, at_once=bool(beat.released) or self._leaving_since is not None
+        answer = self._delivery.respond(
+            now, at_once=bool(heartbeat.released) or self._leaving_since is not None
         )
         self.reconsider()
         return answer
 
     def unreadable_beat(self, target: str, error: str) -> None:
         """A heartbeat cannot be read: it names no target to use, and changes nothing."""
-        if target not in self._unreadable and len(self._unreadable) < UNREADABLE_KEPT:
+        if target not in self._unreadable and len(self._unreadable) < MAX_LOGGED_IDS:
             self._unreadable.add(target)
             self._log.decided("heartbeat_unreadable", failure=True, target=target, error=error)
 
-    def _is_from_the_past(self, beat: TargetBeat, now: float) -> bool:
+    def _is_stale(self, heartbeat: TargetBeat, now: float) -> bool:
         """Whether a heartbeat is a late one of a former target."""
-        present = self._keeper.target
-        if not present or beat.target == present:
+        present = self._grant_manager.target
+        if not present or heartbeat.target == present:
             return False
-        if target_id(beat.target) == target_id(present):
+        if target_id(heartbeat.target) == target_id(present):
             # The later life of one id: an earlier one's heartbeats were sorted out before.
             return False
-        return self._beats.is_from_the_past(beat.sequence, self._client.open_connections, now)
+        return self._heartbeats.is_from_the_past(
+            heartbeat.sequence, self._client.open_connections, now
+        )
 
     def leave(self, leave: TargetLeave) -> None:
         """The target says that it ends soon, without heartbeats from now on."""
@@ -240,36 +251,36 @@
             self._leaving_since = boot_time()
         self._publish_state()
 
-    def _target_began(self, beat: TargetBeat) -> None:
-        former = self._keeper.target
+    def _begin_incarnation(self, heartbeat: TargetBeat) -> None:
+        former = self._grant_manager.target
         if former:
-            self._note_end(former, "its next life beats")
+            self._record_end(former, "its next life beats")
         self._guard.target_began()
-        same_id = bool(former) and target_id(former) == target_id(beat.target)
-        if same_id and self._beats.is_supposed(target_id(beat.target)):
-            self._keeper.target_supposed(beat.target, boot_time())
+        same_id = bool(former) and target_id(former) == target_id(heartbeat.target)
+        if same_id and self._heartbeats.is_supposed(target_id(heartbeat.target)):
+            self._grant_manager.target_supposed(heartbeat.target, boot_time())
         else:
-            self._keeper.target_changed(beat.target)
+            self._grant_manager.target_changed(heartbeat.target)
             if former:
                 self._reported_ended.append(former)
         self._delivery.target_changed()
         self._client.close()
         self._leaving_since = None
-        self._slots.set_slots(beat.slots)
+        self._slots.set_slots(heartbeat.slots)
         self._log.decided(
-            "target_began", target=beat.target, former=former, slots=beat.slots,
-            sequence=beat.sequence,
+            "target_began", target=heartbeat.target, former=former, slots=heartbeat.slots,
+            sequence=heartbeat.sequence,
         )  # fmt: skip
 
-    def _note_state(self, beat: TargetBeat, now: float) -> None:
+    def _update_state(self, heartbeat: TargetBeat, now: float) -> None:
         """Publish what the heartbeat changed."""
-        if beat.state is TargetState.DRAINING and self._leaving_since is None:
-            self._log.decided("target_leaves", target=beat.target, how="draining")
+        if heartbeat.state is TargetState.DRAINING and self._leaving_since is None:
+            self._log.decided("target_leaves", target=heartbeat.target, how="draining")
             self._leaving_since = now
-        cold_until = unix_time() + beat.cold_s if beat.cold_s > 0.0 else 0.0
-        if self._info is not None and self._info.target == beat.target:
-            cold_until = _settled_estimate(self._info.cold_until, cold_until)
-        self._publish(TargetInfo(beat.target, beat.slots, self._state(), cold_until))
+        cold_until = unix_time() + heartbeat.cold_s if heartbeat.cold_s > 0.0 else 0.0
+        if self._info is not None and self._info.target == heartbeat.target:
+            cold_until = _stable_estimate(self._info.cold_until, cold_until)
+        self._publish(TargetInfo(heartbeat.target, heartbeat.slots, self._state(), cold_until))
 
     def _state(self) -> TargetState:
         given_up = self._stopping and not self._keyed
@@ -297,22 +308,22 @@
     def reconsider(self) -> None:
         """Answer a waiting heartbeat now if the target's keys are to change."""
         now = boot_time()
-        keeper = self._keeper
+        keeper = self._grant_manager
         if keeper.must_let_go(now) or keeper.ready_to_begin(now) or self._stopping:
-            self._delivery.give()
-        self._note_pending(now)
+            self._delivery.deliver()
+        self._request_pending(now)
         self._parked.admit_all()
 
-    def _note_pending(self, now: float) -> None:
+    def _request_pending(self, now: float) -> None:
         """Ask for keys that others still have; log how long they were waited for."""
-        pending = self._keeper.pending(now)
+        pending = self._grant_manager.pending(now)
         if pending:
             self._parked.gap.begun(now)
             if self._listener is not None:
                 self._listener.keys_wanted()
         elif (waited_s := self._parked.gap.ended(now)) is not None:
             self._log.decided(
-                "keys_released_by_others", target=self._keeper.target, map=self.map_version,
+                "keys_released_by_others", target=self._grant_manager.target, map=self.map_version,
                 waited_s=round(waited_s, 3), parked=len(self._parked),
             )  # fmt: skip
 
@@ -340,13 +351,13 @@
 
     def adopt(self, key_map: KeyMap) -> None:
         """Act on a newer key map."""
-        if not self._keeper.adopt(key_map, boot_time()):
+        if not self._grant_manager.adopt(key_map, boot_time()):
             return
-        owned = key_map.owned_by(self._keeper.target)
+        owned = key_map.owned_by(self._grant_manager.target)
         self._log.decided(
             "key_map_adopted", service=key_map.service, version=key_map.version,
             ranges=len(owned), keys=sum(r.size for r in owned),
-            pending=len(self._keeper.pending(boot_time())),
+            pending=len(self._grant_manager.pending(boot_time())),
         )  # fmt: skip
         self.reconsider()
         if self._listener is not None:
@@ -355,23 +366,23 @@
     def released_elsewhere(self, predecessor: Predecessor, rows: tuple[ReleasedRow, ...]) -> None:
         """A predecessor let keys go that are to be this target's."""
         for row in rows:
-            self._keeper.released(predecessor, row)
+            self._grant_manager.released(predecessor, row)
         self.reconsider()
 
-    def _keys_let_go(self) -> None:
+    def _keys_released(self) -> None:
         if self._listener is not None:
             self._listener.keys_changed()
 
-    def _other_target_there(self, meant: str) -> None:
-        """Another incarnation has the address of the one that beat: the next beat tells which.
+    def _other_target_found(self, addressed: str) -> None:
+        """Another incarnation has the address of the one that heartbeat: the next beat tells which.
 
         A heartbeat that was held up for long can pass for the first one after a restart of
         this daemon; without this the living target's own would be taken for the late one.
         """
-        if meant == self._keeper.target and self._beats.doubt():
-            self._log.decided("other_target_there", failure=True, target=meant)
+        if addressed == self._grant_manager.target and self._heartbeats.doubt():
+            self._log.decided("other_target_there", failure=True, target=addressed)
 
-    def _map_wanted(self) -> None:
+    def _map_outdated(self) -> None:
         if self._listener is not None:
             self._listener.map_wanted()
 
@@ -385,18 +396,18 @@
             capacity=self._slots.capacity(),
             draining=info is None or info.state is TargetState.DRAINING,
             ended=tuple(self._reported_ended[-16:]),
-            confirmed=tuple(self._keeper.confirmed()),
+            confirmed=tuple(self._grant_manager.confirmed()),
             counts=self._counter.take(),
         )
 
     def former_known(self, targets: list[str]) -> None:
         """Take the incarnations that earlier lives of this daemon served, the newest last."""
-        self._beats.former_known(targets)
+        self._heartbeats.former_known(targets)
 
     def note_ended(self, target: str) -> None:
         """An incarnation that an earlier life of this daemon served is known to be gone."""
-        self._keeper.note_ended(target)
-        if self._keeper.has_ended(target) and target not in self._reported_ended:
+        self._grant_manager.note_ended(target)
+        if self._grant_manager.has_ended(target) and target not in self._reported_ended:
             self._reported_ended.append(target)
 
     # -- requests ------------------------------------------------------------------------
@@ -420,13 +431,13 @@
         if self._is_drained_for(head, now):
             return Reason.MOVED
         leaving = self._leaving_since
-        if leaving is not None and now > leaving + self._settings.drain_s * DRAIN_SHARE:
+        if leaving is not None and now > leaving + self._settings.drain_s * DRAIN_FRACTION:
             return Reason.DRAINING
         if not self._keyed or not head.key:
             return None
-        if self._keeper.serves(head.position, now):
+        if self._grant_manager.serves(head.position, now):
             return None
-        key_map = self._keeper.key_map
+        key_map = self._grant_manager.key_map
         owned = key_map.range_of(head.position) if key_map is not None else None
         if owned is not None and owned.owner == info.target:
             return Reason.NOT_READY
@@ -454,13 +465,13 @@
         """A request no longer waits for its key."""
         self._parked.unpark(request)
 
-    def back_after_s(self, reason: Reason) -> float:
+    def retry_after_s(self, reason: Reason) -> float:
         """Return the seconds after which a request that is refused here may come back."""
         if reason is Reason.NOT_READY:
             return self._parked.gap.left_s(boot_time())
-        return BACK_S if self._refusing else MOVED_RETRY_S
+        return RESTART_S if self._refusing else MOVED_RETRY_S
 
-    def barred_by_crashes(self, request: TargetRequest) -> Barred | None:
+    def quarantine_rejection(self, request: TargetRequest) -> QuarantineRejection | None:
         """Return why the target may not run a request, as crashes are held against it."""
         return self._guard.barred(request, self._slots.load().service_s, boot_time())
 
@@ -469,7 +480,7 @@
         target = self._info.target if self._info is not None else head.target
         return self._dialect.target_headers(head.headers, target, head.caller_service, left_ms)
 
-    def named(self, headers: bytes) -> bytes:
+    def content_headers(self, headers: bytes) -> bytes:
         """Return what a request's header lines add to its path, to say what it asks for."""
         return self._dialect.named(headers)
 
@@ -514,7 +525,7 @@
 
     def unreachable(self, error: ServerUnreachable) -> None:
         """No connection to the target could be made."""
-        if error.refused and self._end.refused():
+        if error.refused and self._termination.refused():
             # What listens there next has just started.
             self._slots.cold.doubt(boot_time())
 
@@ -522,25 +533,25 @@
         """Look whether a target has ended that leaves, refused a connection or broke one."""
         self._reactor.callLater(END_CHECK_S, self._watch_target)
         now = boot_time()
-        self._reported_ended.extend(self._keeper.ended_by(now))
+        self._reported_ended.extend(self._grant_manager.ended_by(now))
         info = self._info
         if info is None:
             return
-        if not self._silent and now - self._beats.last > LATE_S:
+        if not self._silent and now - self._heartbeats.last > HEARTBEAT_TIMEOUT_S:
             self._log.decided(
-                "target_silent", target=info.target, heard_s=round(now - self._beats.last, 3)
+                "target_silent", target=info.target, heard_s=round(now - self._heartbeats.last, 3)
             )
             self._silent = True
             self._publish_state()
         leaving = self._leaving_since
         overdue = leaving is not None and now > leaving + self._settings.drain_s
-        self._end.look(doubted=overdue or self._guard.doubts_target)
+        self._termination.check(suspected=overdue or self._guard.doubts_target)
 
-    def _target_listens(self) -> None:
+    def _target_listening(self) -> None:
         """Something listens at the target's port: a target that broke exchanges off lives on."""
-        self._guard.target_listens(boot_time())
+        self._guard.target_listening(boot_time())
 
-    def _note_end(self, target: str, shown_by: str) -> None:
+    def _record_end(self, target: str, shown_by: str) -> None:
         """Tell a crash from an end that the target had told of.
 
         Who leaves serves until its drain time is over: it has crashed if it ends before.
@@ -555,20 +566,20 @@
     def _target_ended(self) -> None:
         if self._info is None:
             return
-        target = self._keeper.target
-        self._note_end(target, "its port refuses")
+        target = self._grant_manager.target
+        self._record_end(target, "its port refuses")
         self._log.decided("target_ended", target=target, shown_by="its port refuses")
         self._leaving_since = None
-        self._keeper.target_ended()
+        self._grant_manager.target_ended()
         self._reported_ended.append(target)
         self._publish(None)
         if self._listener is not None:
             self._listener.keys_changed()
 
 
-def _settled_estimate(before: float, now: float) -> float:
+def _stable_estimate(before: float, now: float) -> float:
     """Return the Unix time in s to tell: clocks and rounding must not look like a change."""
-    return before if abs(now - before) < COLD_ESTIMATE_S else now
+    return before if abs(now - before) < COLD_ESTIMATE_TOLERANCE_S else now
 
 
 def _text(request_id: bytes) -> str:
--- a/packages/daemon/src/pearward_daemon/mesh/target_slots.py
+++ b/packages/daemon/src/pearward_daemon/mesh/target_slots.py
@@ -14,7 +14,7 @@
 DEFAULT_SLOTS = 8
 QUEUE_PER_SLOT = 8
 """Requests that may wait, for each slot: far more than patience lets wait at usual speeds."""
-SHORTEST_SERVICE_S = 0.005
+MIN_SERVICE_S = 0.005
 """Running time in seconds below which a target's capacity is not taken for higher."""
 
 
@@ -26,13 +26,13 @@
         """Whether a long answer will have to pass the instance's link."""
 
     @property
-    def asked_last(self) -> bool:
+    def is_last_target(self) -> bool:
         """Whether no other target will be asked for a slot."""
 
     def start(self) -> None:
         """A slot is free for it."""
 
-    def too_late(self) -> None:
+    def waited_too_long(self) -> None:
         """It waited so long that it could not be answered any more."""
 
 
@@ -81,7 +81,7 @@
     def capacity(self) -> float:
         """Return the requests a second that the target can run."""
         now = boot_time()
-        warm = self._queue.slots / max(self._queue.service_s(now), SHORTEST_SERVICE_S)
+        warm = self._queue.slots / max(self._queue.service_s(now), MIN_SERVICE_S)
         rate = self._cold.rate(now)
         return warm if rate is None else min(warm, rate)
 
@@ -106,14 +106,14 @@
 
     def _link_too_late_s(self, user: SlotUser, ticket: SlotTicket, now: float) -> float:
         """Return by how many seconds the link would bring a long answer too late."""
-        asked = LongRequest(
+        long_request = LongRequest(
             runs_s=self._queue.expected_wait(ticket, now) + self._queue.service_s(now),
             objective=ticket.objective,
             deadline=ticket.deadline,
-            last_target=user.asked_last,
+            last_target=user.is_last_target,
         )
         under_way = sum(1 for other in self._users.values() if other.needs_link)
-        return self._link.too_late_s(asked, under_way, now)
+        return self._link.too_late_s(long_request, under_way, now)
 
     def patience_s(self, ticket: SlotTicket) -> float:
         """Return the seconds that a request may wait for a slot."""
@@ -130,6 +130,6 @@
         self._queue.finish(ticket, now, measured=measured)
         started, late = self._queue.next_starts(now)
         for other in late:
-            self._users.pop(other).too_late()
+            self._users.pop(other).waited_too_long()
         for other in started:
             self._users[other].start()
