--- a/packages/daemon/src/pearward_daemon/mesh/target_request.py
+++ b/packages/daemon/src/pearward_daemon/mesh/target_request.py
@@ -88,9 +88,9 @@
     def content(self) -> str:
         """What it asks for, the same for every id under which it comes."""
         head = self._head
-        content_headers = self._side.content_headers(head.headers)
+        named = self._side.named(head.headers)
         body = self._whole_body or b"".join(self._body)
-        return content_digest(head.method, head.path, content_headers, head.body_length, body)
+        return content_digest(head.method, head.path, named, head.body_length, body)
 
     @property
     def needs_link(self) -> bool:
@@ -125,7 +125,7 @@
         if barred is Reason.NOT_READY and self._park():
             return
         if barred is not None:
-            self._refuse(barred, retry_after_s=self._side.retry_after_s(barred))
+            self._refuse(barred, retry_after_s=self._side.back_after_s(barred))
             return
         self._cancel_wait()
         if self._ticket is not None:
@@ -165,7 +165,7 @@
         """The former owner takes longer than a caller should wait: let it try again."""
         self._wait_timer = None
         if not self._done and self._ticket is None:
-            self._refuse(Reason.NOT_READY, retry_after_s=self._side.retry_after_s(Reason.NOT_READY))
+            self._refuse(Reason.NOT_READY, retry_after_s=self._side.back_after_s(Reason.NOT_READY))
 
     def _queue_wait_expired(self) -> None:
         """The queue moves slower than was expected: let the caller try again in time."""
@@ -221,7 +221,7 @@
         barred = self._side.barred(self._head)
         if barred is not None:
             connection.abort()
-            self._refuse(barred, retry_after_s=self._side.retry_after_s(barred))
+            self._refuse(barred, retry_after_s=self._side.back_after_s(barred))
             return
         if self._refused_as_cold() or self._refused_by_crashes():
             connection.abort()
@@ -388,7 +388,7 @@
         """The target's whole answer says that it is not the caller's."""
         if verdict is Reason.TARGET_REFUSED:
             self._sent = False
-            self._refuse(verdict, retry_after_s=self._side.retry_after_s(verdict))
+            self._refuse(verdict, retry_after_s=self._side.back_after_s(verdict))
         else:
             self._fail_after_sent(verdict)
 
--- a/packages/daemon/src/pearward_daemon/mesh/target_side.py
+++ b/packages/daemon/src/pearward_daemon/mesh/target_side.py
@@ -183,43 +183,41 @@
 
     # -- heartbeats -------------------------------------------------------------------
 
-    def beat(self, heartbeat: TargetBeat) -> "Deferred[BeatAnswer]":
+    def beat(self, beat: TargetBeat) -> "Deferred[BeatAnswer]":
         """Take a heartbeat; its answer may wait for a change of the target's keys."""
         now = boot_time()
-        if heartbeat.service != self._settings.service:
-            self.unreadable_beat(
-                heartbeat.target, f"service {heartbeat.service!r} does not run here"
-            )
+        if beat.service != self._settings.service:
+            self.unreadable_beat(beat.target, f"service {beat.service!r} does not run here")
             return succeed(BeatAnswer())
-        by_heartbeat = self._settings.grant_way is GrantWay.HEARTBEAT
+        told = self._settings.grant_way is GrantWay.HEARTBEAT
         sign = BeatSign(
-            heartbeat.target,
-            heartbeat.born_ms,
-            heartbeat.sequence,
-            by_heartbeat and not heartbeat.held,
+            beat.target,
+            beat.born_ms,
+            beat.sequence,
+            told and not beat.held,
         )
         incarnation = self._heartbeats.incarnation_of(sign, now, round(unix_time() * MS_PER_S))
         if incarnation is None:
             return succeed(BeatAnswer())
-        heartbeat = replace(heartbeat, target=incarnation)
-        if self._grant_manager.has_ended(heartbeat.target) or self._is_stale(heartbeat, now):
+        beat = replace(beat, target=incarnation)
+        if self._grant_manager.has_ended(beat.target) or self._is_stale(beat, now):
             self._log.decided(
-                "late_heartbeat_ignored", target=heartbeat.target, sequence=heartbeat.sequence,
+                "late_heartbeat_ignored", target=beat.target, sequence=beat.sequence,
                 present=self._grant_manager.target, heard_s=round(now - self._heartbeats.last, 3),
             )  # fmt: skip
             return succeed(BeatAnswer())
         self._heartbeats.heard(now)
         self._silent = False
         self._termination.heartbeat_received()
-        if heartbeat.target != self._grant_manager.target:
-            self._begin_incarnation(heartbeat)
-        self._grant_manager.heartbeat(now, heartbeat.held, heartbeat.released)
-        self._slots.cold.told(heartbeat.cold_s, now)
-        self._update_state(heartbeat, now)
-        if heartbeat.released and self._listener is not None:
+        if beat.target != self._grant_manager.target:
+            self._begin_incarnation(beat)
+        self._grant_manager.heartbeat(now, beat.held, beat.released)
+        self._slots.cold.told(beat.cold_s, now)
+        self._update_state(beat, now)
+        if beat.released and self._listener is not None:
             self._listener.keys_changed()
         answer = self._delivery.respond(
-            now, at_once=bool(heartbeat.released) or self._leaving_since is not None
+            now, at_once=bool(beat.released) or self._leaving_since is not None
         )
         self.reconsider()
         return answer
@@ -230,17 +228,15 @@
             self._unreadable.add(target)
             self._log.decided("heartbeat_unreadable", failure=True, target=target, error=error)
 
-    def _is_stale(self, heartbeat: TargetBeat, now: float) -> bool:
+    def _is_stale(self, beat: TargetBeat, now: float) -> bool:
         """Whether a heartbeat is a late one of a former target."""
         present = self._grant_manager.target
-        if not present or heartbeat.target == present:
+        if not present or beat.target == present:
             return False
-        if target_id(heartbeat.target) == target_id(present):
+        if target_id(beat.target) == target_id(present):
             # The later life of one id: an earlier one's heartbeats were sorted out before.
             return False
-        return self._heartbeats.is_from_the_past(
-            heartbeat.sequence, self._client.open_connections, now
-        )
+        return self._heartbeats.is_from_the_past(beat.sequence, self._client.open_connections, now)
 
     def leave(self, leave: TargetLeave) -> None:
         """The target says that it ends soon, without heartbeats from now on."""
@@ -251,36 +247,36 @@
             self._leaving_since = boot_time()
         self._publish_state()
 
-    def _begin_incarnation(self, heartbeat: TargetBeat) -> None:
+    def _begin_incarnation(self, beat: TargetBeat) -> None:
         former = self._grant_manager.target
         if former:
             self._record_end(former, "its next life beats")
         self._guard.target_began()
-        same_id = bool(former) and target_id(former) == target_id(heartbeat.target)
-        if same_id and self._heartbeats.is_supposed(target_id(heartbeat.target)):
-            self._grant_manager.target_supposed(heartbeat.target, boot_time())
+        same_id = bool(former) and target_id(former) == target_id(beat.target)
+        if same_id and self._heartbeats.is_supposed(target_id(beat.target)):
+            self._grant_manager.target_supposed(beat.target, boot_time())
         else:
-            self._grant_manager.target_changed(heartbeat.target)
+            self._grant_manager.target_changed(beat.target)
             if former:
                 self._reported_ended.append(former)
         self._delivery.target_changed()
         self._client.close()
         self._leaving_since = None
-        self._slots.set_slots(heartbeat.slots)
+        self._slots.set_slots(beat.slots)
         self._log.decided(
-            "target_began", target=heartbeat.target, former=former, slots=heartbeat.slots,
-            sequence=heartbeat.sequence,
+            "target_began", target=beat.target, former=former, slots=beat.slots,
+            sequence=beat.sequence,
         )  # fmt: skip
 
-    def _update_state(self, heartbeat: TargetBeat, now: float) -> None:
+    def _update_state(self, beat: TargetBeat, now: float) -> None:
         """Publish what the heartbeat changed."""
-        if heartbeat.state is TargetState.DRAINING and self._leaving_since is None:
-            self._log.decided("target_leaves", target=heartbeat.target, how="draining")
+        if beat.state is TargetState.DRAINING and self._leaving_since is None:
+            self._log.decided("target_leaves", target=beat.target, how="draining")
             self._leaving_since = now
-        cold_until = unix_time() + heartbeat.cold_s if heartbeat.cold_s > 0.0 else 0.0
-        if self._info is not None and self._info.target == heartbeat.target:
+        cold_until = unix_time() + beat.cold_s if beat.cold_s > 0.0 else 0.0
+        if self._info is not None and self._info.target == beat.target:
             cold_until = _stable_estimate(self._info.cold_until, cold_until)
-        self._publish(TargetInfo(heartbeat.target, heartbeat.slots, self._state(), cold_until))
+        self._publish(TargetInfo(beat.target, beat.slots, self._state(), cold_until))
 
     def _state(self) -> TargetState:
         given_up = self._stopping and not self._keyed
@@ -374,7 +370,7 @@
             self._listener.keys_changed()
 
     def _other_target_found(self, addressed: str) -> None:
-        """Another incarnation has the address of the one that heartbeat: the next beat tells which.
+        """Another incarnation has the address of the one that beat: the next beat tells which.
 
         A heartbeat that was held up for long can pass for the first one after a restart of
         this daemon; without this the living target's own would be taken for the late one.
@@ -465,7 +461,7 @@
         """A request no longer waits for its key."""
         self._parked.unpark(request)
 
-    def retry_after_s(self, reason: Reason) -> float:
+    def back_after_s(self, reason: Reason) -> float:
         """Return the seconds after which a request that is refused here may come back."""
         if reason is Reason.NOT_READY:
             return self._parked.gap.left_s(boot_time())
@@ -480,7 +476,7 @@
         target = self._info.target if self._info is not None else head.target
         return self._dialect.target_headers(head.headers, target, head.caller_service, left_ms)
 
-    def content_headers(self, headers: bytes) -> bytes:
+    def named(self, headers: bytes) -> bytes:
         """Return what a request's header lines add to its path, to say what it asks for."""
         return self._dialect.named(headers)
 
