--- a/packages/daemon/src/pearward_daemon/mesh/beat_answers.py
+++ b/packages/daemon/src/pearward_daemon/mesh/beat_answers.py
@@ -1,4 +1,4 @@
-"""Answers to the target's heartbeats, held back so that a change of its keys finds one waiting."""
+"""Delivery of grants and releases in delayed responses to the local target's heartbeats."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -15,15 +15,16 @@
 __all__ = ["HeartbeatResponses"]
 
 MAX_RESPONSE_DELAY_S = 0.75
-"""Seconds for which a heartbeat's answer waits for a change of the target's keys: targets
-take an answer within a second, and a change that finds a waiting answer takes effect at once."""
+"""Maximum delay in s of a heartbeat's response, which waits for a change of the target's keys.
+Targets accept a response within one second, and a change takes effect at once if a response is
+pending."""
 GRANT_EFFECT_DELAY_S = 0.01
-"""Seconds after which a target acts on a written answer; requests for its new keys follow."""
+"""Seconds from writing a response until the target applies it; requests for new keys follow."""
 
 
 @dataclass(slots=True)
 class _PendingResponse:
-    """A heartbeat whose answer is held back."""
+    """A heartbeat whose response is delayed."""
 
     received: float
     answer: "Deferred[BeatAnswer]"
@@ -31,7 +32,7 @@
 
 
 class HeartbeatResponses:
-    """Holds back and gives the answers to one target's heartbeats."""
+    """Delays and sends the responses to one target's heartbeats."""
 
     def __init__(
         self,
@@ -48,14 +49,14 @@
         self._keyed = False
 
     def set_keyed(self, keyed: bool) -> None:
-        """Say whether the target holds keys at all; other targets are answered at once."""
+        """Set whether the target's service is keyed; otherwise responses are not delayed."""
         self._keyed = keyed
 
     def target_changed(self) -> None:
-        """Another incarnation is there: it says itself what it holds."""
+        """Do nothing: the new incarnation reports the keys it holds in its heartbeats."""
 
     def respond(self, received: float, *, at_once: bool) -> "Deferred[BeatAnswer]":
-        """Return the answer to a heartbeat, which comes now or after a while."""
+        """Return the response to a heartbeat; it is delayed unless *at_once* or not keyed."""
         self.deliver()
         answer: Deferred[BeatAnswer] = Deferred()
         timer = self._reactor.callLater(MAX_RESPONSE_DELAY_S, self.deliver)
@@ -65,7 +66,7 @@
         return answer
 
     def deliver(self) -> None:
-        """Answer the heartbeat that waits, with what its target is to hold now."""
+        """Answer the pending heartbeat with the keys that its target may hold now."""
         waiting, self._pending = self._pending, None
         if waiting is None:
             return
--- a/packages/daemon/src/pearward_daemon/mesh/call_delivery.py
+++ b/packages/daemon/src/pearward_daemon/mesh/call_delivery.py
@@ -1,4 +1,4 @@
-"""Keys given to the target beside this daemon, and taken back, by calls to it."""
+"""Delivery of grants and releases to the local target by calls to it."""
 
 from collections.abc import Callable
 from typing import Any
@@ -23,11 +23,11 @@
 __all__ = ["CallDelivery"]
 
 CHECK_INTERVAL_S = 0.1
-"""Seconds between looks for renewals that are due, and for calls that have to be repeated."""
+"""Seconds between checks for due renewals and for calls that must be repeated."""
 
 
 class CallDelivery:
-    """Makes the calls that are due and takes their answers."""
+    """Makes the grant and release calls that are due and processes their replies."""
 
     def __init__(
         self,
@@ -53,19 +53,19 @@
         self._timer: Any = None
 
     def set_keyed(self, keyed: bool) -> None:
-        """Say whether the target holds keys at all."""
+        """Set whether the target's service is keyed; start the periodic check if it is."""
         self._keyed = keyed
         if keyed and self._timer is None:
             self._check_due()
 
     def target_changed(self) -> None:
-        """Another incarnation is there: nothing that was on its way concerns it."""
+        """Drop calls in transit, which concern the former incarnation."""
         self._port.close()
         self._calls.target_changed()
         self._grant_manager.begun_unknown(CALL_TRANSIT_S)
 
     def respond(self, received: float, *, at_once: bool) -> "Deferred[BeatAnswer]":
-        """Answer a heartbeat, which says nothing of keys; note the process that sent it."""
+        """Answer a heartbeat at once, without keys; attach to the process that sent it."""
         if self._keyed:
             self._port.attach().addCallbacks(lambda _: self.deliver(), self._not_attached)
         return succeed(BeatAnswer())
@@ -78,7 +78,7 @@
         )  # fmt: skip
 
     def deliver(self) -> None:
-        """Make the calls that are due."""
+        """Make the grant and release calls that are due."""
         if not self._keyed or not self._grant_manager.target:
             return
         for call in self._calls.due(boot_time(), attached=self._port.attached):
--- a/packages/daemon/src/pearward_daemon/mesh/grant_delivery.py
+++ b/packages/daemon/src/pearward_daemon/mesh/grant_delivery.py
@@ -1,4 +1,4 @@
-"""The port by which the target beside this daemon learns which keys it holds."""
+"""The interface through which the local target is notified of the keys it holds."""
 
 from typing import Protocol
 
@@ -10,16 +10,16 @@
 
 
 class GrantDelivery(Protocol):
-    """Tells a target its keys: in answers to its heartbeats, or by calls."""
+    """Delivers grants and releases to a target, in heartbeat responses or by calls."""
 
     def set_keyed(self, keyed: bool) -> None:
-        """Say whether the target holds keys at all."""
+        """Set whether the target's service is keyed."""
 
     def target_changed(self) -> None:
-        """Another incarnation of the target is there."""
+        """Handle a new incarnation of the target."""
 
     def respond(self, received: float, *, at_once: bool) -> "Deferred[BeatAnswer]":
-        """Return the answer to a heartbeat that was received at *received*."""
+        """Return the response to a heartbeat received at *received*, delayed unless *at_once*."""
 
     def deliver(self) -> None:
-        """Tell the target now what has changed of its keys."""
+        """Deliver changes of the target's keys now."""
--- a/packages/daemon/src/pearward_daemon/mesh/key_map_entry.py
+++ b/packages/daemon/src/pearward_daemon/mesh/key_map_entry.py
@@ -1,8 +1,8 @@
 """The key map of one service in the platform's store, as its planner reads and writes it.
 
-It is written by compare-and-swap: two daemons that both believe to have the planner's duty do
-no harm. An entry that another writer spoiled never replaces a map that is known here, nor does
-one that the store has from before an older copy of it came back: that is numbered anew first.
+It is written by compare-and-swap, so two daemons that both act as the planner do no harm. A
+known map is never replaced by an entry that another writer corrupted, nor by one from an earlier
+era of the store, before it was restored from an older copy: that is renumbered first.
 """
 
 from collections.abc import Callable
@@ -24,16 +24,16 @@
 __all__ = ["KeyMapEntry"]
 
 MARKED_ERAS = 8
-"""Eras of the store, up to the present one, that are marked when one begins: a write may be done
-some seconds after it was sent, and the store may go back twice in that time."""
+"""Number of eras, up to the current one, that are marked in the store when an era starts. A write
+may be executed seconds after it was sent, and the store may be restored twice in that time."""
 
 RebuildMap = Callable[[int], KeyMap | None]
-"""Takes a number that is above all versions and fences ever given; returns a map under it, or None
-while somebody may yet hold keys by a former one."""
+"""Takes a number above all versions and fences ever issued; returns a map with that number, or None
+while keys may still be held under a former map."""
 
 
 class KeyMapEntry:
-    """One service's entry."""
+    """Reads and writes the key map entry of one service."""
 
     def __init__(
         self,
@@ -50,19 +50,19 @@
         self._log = log
         self._spread = spread
         self._revision = 0
-        """Revision of the entry in the store; 0 while it is not known."""
+        """Revision of the entry in the store; 0 while unknown."""
 
     def invalidate(self) -> None:
-        """Read the entry anew before anything is planned by it."""
+        """Make the next read() load the entry from the store again."""
         self._revision = 0
 
-    async def read(self, rebuild_map: RebuildMap, *, told: bool) -> KeyMap | None:
-        """Return the map as the store has it, or None; read once, then known by its revision.
+    async def read(self, rebuild_map: RebuildMap, *, era_settled: bool) -> KeyMap | None:
+        """Return the map in the store, or None; read once, then cached by its revision.
 
-        A map of an earlier era of the store, or an older one than is known here, is written anew
-        under the next number, once *told* says that others have had time to tell of theirs.
-        Raises MapNotSettled before, what the store raises, and PlatformUnavailable while a
-        spoiled entry stands.
+        A map of an earlier era of the store, or older than the known one, is written again under
+        the next number once *era_settled* is true: others have had time to report newer maps.
+        Raises MapNotSettled before that, the store's errors, and PlatformUnavailable while the
+        entry is corrupt and cannot be rebuilt.
         """
         known = self._maps.of(self._service)
         if self._revision and known is not None and known.era == self._store.era:
@@ -79,7 +79,7 @@
         if newest is None:
             return None
         current = found is not None and found.version == newest.version and found.era == era
-        if not current and not told:
+        if not current and not era_settled:
             raise MapNotSettled(f"{self._key}: version {newest.version} in era {era}")
         self._log.decided(
             "key_map_read", service=self._service, era=era,
@@ -109,10 +109,10 @@
         error: InvalidRecord,
         era: int,
     ) -> KeyMap:
-        """Write the known map over an entry that another writer spoiled.
+        """Write the known or rebuilt map over an entry that another writer corrupted.
 
-        Each version and each fence of an era cost a write of the store in it: its revision is
-        above all of them.
+        Each version and fence of an era took a write to the store in that era, so the entry's
+        revision is above all of them.
         """
         self._log.decided(
             "key_map_unreadable", failure=True, key=item.key, error=str(error),
@@ -123,12 +123,14 @@
             return await self._renumbered(known, era, "restored")
         restored = rebuild_map(next_number(first_of(era) + counted(item.revision), era))
         if restored is None:
-            raise PlatformUnavailable(f"{item.key} cannot be read, and no map is known") from error
+            raise PlatformUnavailable(
+                f"{item.key} cannot be decoded, and no map is known"
+            ) from error
         await self.write(restored, "restored")
         return restored
 
     async def _renumbered(self, key_map: KeyMap, era: int, why: str) -> KeyMap:
-        """Write a map that the store does not have, or has from an earlier era, once more."""
+        """Write a map under a new number if the store lacks it or has it from an earlier era."""
         number = next_number(key_map.version, era)
         renewed = replace(
             key_map, version=number, fence=max(key_map.fence, first_of(era)),
@@ -138,12 +140,12 @@
         return renewed
 
     async def write(self, planned: KeyMap, why: str) -> None:
-        """Write a map, act on it and tell the others; raises what the store raises."""
+        """Write a map, adopt it and distribute it; raises the store's errors."""
         era = planned.era
         marks = range(max(1, era - MARKED_ERAS + 1), era + 1) if self._starts_era(planned) else ()
         self._revision = await self._store.commit(
-            # A write that is done only after the store went back must not replace a later map,
-            # though its condition holds: revisions are given out again.
+            # A write that is executed only after the store was restored must not replace a
+            # later map: revisions are reused, so the condition on the revision may hold.
             [Expectation(self._key, self._revision), Expectation(era_key(era + 1), 0)],
             [Put(self._key, encode_key_map(planned)), *(Put(era_key(e), b"") for e in marks)],
         )
@@ -159,6 +161,6 @@
         self._spread(planned)
 
     def _starts_era(self, planned: KeyMap) -> bool:
-        """Return whether a map is the first one here in an era of the store."""
+        """Return whether a map is the first one known to this daemon in its era."""
         known = self._maps.of(self._service)
         return known is None or known.era < planned.era
--- a/packages/daemon/src/pearward_daemon/mesh/key_maps.py
+++ b/packages/daemon/src/pearward_daemon/mesh/key_maps.py
@@ -1,4 +1,4 @@
-"""The key maps that this daemon knows, one a service, and their spread to the others."""
+"""The newest key map of each service, and the messages that distribute it between daemons."""
 
 from collections.abc import Callable
 
@@ -21,15 +21,15 @@
 
 
 class KeyMaps:
-    """The newest known key map of each service; versions only grow."""
+    """Holds the newest known key map of each service; versions only increase."""
 
     def __init__(self, log: DecisionLog) -> None:
         self._log = log
         self._maps: dict[str, KeyMap] = {}
         self._former: dict[str, KeyMap] = {}
-        """The maps that were known before the newest ones."""
+        """The predecessor of each newest map."""
         self._whole: dict[str, Push] = {}
-        """Messages with the newest maps, made when first sent: each goes to many."""
+        """Messages with complete newest maps, encoded once and sent to many daemons."""
         self._changes: dict[str, PushChange] = {}
         self._listeners: list[Callable[[KeyMap], None]] = []
 
@@ -47,7 +47,7 @@
         return key_map.version if key_map is not None else 0
 
     def adopt(self, key_map: KeyMap) -> bool:
-        """Take a map if it is newer than the known one; return whether it was."""
+        """Adopt a map if it is newer than the known one; return whether it was."""
         known = self._maps.get(key_map.service)
         if known is not None:
             if key_map.version <= known.version:
@@ -61,7 +61,7 @@
     # -- between daemons ----------------------------------------------------------------
 
     def take(self, message: Push) -> None:
-        """Take a whole map of a peer; one that cannot be read is logged."""
+        """Adopt a complete map sent by a peer; log a map that cannot be decoded."""
         if message.version <= self.version(message.key.removeprefix(KEY_MAPS)):
             return
         try:
@@ -70,7 +70,7 @@
             self._log.decided("key_map_unreadable", failure=True, error=str(error))
 
     def take_change(self, message: PushChange, sender: str) -> bool:
-        """Take a change of a map; return whether the whole map has to be asked for."""
+        """Apply a change of a map; return whether the complete map must be requested."""
         known = self._maps.get(message.key.removeprefix(KEY_MAPS))
         held = known.version if known is not None else 0
         if message.version <= held:
@@ -79,7 +79,7 @@
         if known is not None and message.base == held:
             try:
                 self.adopt(known.after(decode_key_map_change(unpacked(message.value))))
-                # Others that hold the base get it as it came.
+                # Forward the message unchanged to daemons that hold the same base.
                 self._changes[known.service] = message
             except InvalidRecord as error:
                 why = str(error)
@@ -92,10 +92,10 @@
         return True
 
     def message(self, service: str, held: int = 0) -> Push | PushChange | None:
-        """Return what brings a daemon that holds a version to the newest one.
+        """Return the message that updates a daemon from version *held* to the newest map.
 
-        A change where the daemon holds the former version: with 102 owners some hundred bytes
-        in place of 18 kB, and 0.2 ms in place of 2.5 ms to read.
+        It is a change if the daemon holds the preceding version: with 102 owners this takes
+        some hundred bytes instead of 18 kB, and 0.2 ms instead of 2.5 ms to decode.
         """
         key_map = self._maps.get(service)
         if key_map is None:
@@ -105,7 +105,7 @@
             return self._change(former, key_map)
         sent = self._whole.get(service)
         if sent is None or sent.version != key_map.version:
-            # A link of 6 Mbit/s takes seconds for the plain map to all members of a fleet.
+            # Compressed: a 6 Mbit/s link needs seconds to send the plain map to all members.
             value = packed(encode_key_map(key_map))
             sent = self._whole[service] = Push(KEY_MAPS + service, key_map.version, value)
         return sent
--- a/packages/daemon/src/pearward_daemon/mesh/key_planner.py
+++ b/packages/daemon/src/pearward_daemon/mesh/key_planner.py
@@ -1,9 +1,8 @@
-"""The duty of one daemon: to decide who owns which keys, from what all owners report.
+"""The planner, active in one daemon: assigns keys to owners based on the owners' reports.
 
-The member with the fastest link has the duty, by name where links are alike. Two that both
-believe so do no harm: the store takes only one of two writes for the same version of a key
-map. Everything that the duty needs to remember is in the store or is told again by the
-owners' reports.
+The member with the fastest link is the active planner; ties are resolved by name. Two active
+planners do no harm, as the store accepts only one of two writes for the same version of a key
+map. All of the planner's state is in the store or is repeated in the owners' reports.
 """
 
 from collections.abc import Callable, Coroutine
@@ -48,65 +47,66 @@
 TICK_S = 0.2
 REPORT_INTERVAL_S = 0.4
 MAX_REPORT_AGE_S = 2.0
-"""A report is used this long: five intervals."""
+"""Maximum age in s of a report that is used: five intervals."""
 FIRST_MAP_DELAY_S = 1.0
-"""Seconds after the first owner is known before the first map is made: targets beat within."""
+"""Seconds from the first known owner to the first map; all targets send a heartbeat by then."""
 RESTART_SILENCE_S = 4.0
-"""The same after a planned stop: a daemon that ended stands again after 1.4 s, and reports
-when its target has beaten, up to 0.9 s later; what else is lost then waits as long."""
+"""Seconds without a report after which an owner loses its keys during a planned stop of its
+daemon. The daemon is back after 1.4 s and reports on its target's heartbeat up to 0.9 s later. An
+owner that is lost during the stop is detected only after this time."""
 MAX_UTILISATION = 0.75
-"""Utilisation of the owners that stay up to which they take the keys of one whose daemon is
-stopped: two moves rest its keys for a second in all, staying rests them for two and a half,
-and beyond this everybody's requests wait."""
+"""Maximum utilisation of the remaining owners at which they take over the keys of a target whose
+daemon is stopped. Moving the keys away and back makes them unavailable for 1 s in all, not moving
+them for 2.5 s; above this utilisation the requests of all owners would queue."""
 MIN_RELATIVE_SPEED, MAX_RELATIVE_SPEED = 0.4, 2.5
-"""Speeds of targets of one service, over their mean, beyond which a measured speed is not
-believed: targets seen so far run at 0.6 to 1.6, and slow ones for some seconds at less."""
+"""Range of a target's speed relative to the mean of its service; measured speeds are clamped to
+it. Real targets run at 0.6 to 1.6, and slow ones at less for some seconds."""
 WITNESS_TIMEOUT_S = 6.0
-"""Seconds after which an instance without an entry is replaced as a witness."""
+"""Seconds without a member entry after which an instance is replaced as a witness."""
 MEMBER_SCAN_INTERVAL_S = 1.0
-"""Seconds between looks at who is there, for the instances that may be witnesses."""
+"""Seconds between scans of the members for instances that may serve as witnesses."""
 SETTLE_LEASE_FACTOR = 1.2
-"""Leases after which nothing that former witnesses granted can run."""
+"""Number of lease durations after which no lease granted by former witnesses can be valid."""
 ERA_SETTLE_S = 1.5
-"""Seconds after the store went back before its maps are written anew: daemons find out with the
-renewal of their lease, write their entries again and report the maps that they know."""
+"""Seconds after the store was restored before its maps are written again. By then daemons have
+detected it by the renewal of their lease, rewritten their entries and reported their maps."""
 QUERY_INTERVAL_S = 0.4
-"""Seconds between two questions to the same instance, which may have been lost."""
+"""Seconds between two queries to the same instance, since a message may be lost."""
 GRACE_S = 1.5
-"""Seconds after the duty began before anybody is found silent: reports have to arrive first."""
+"""Seconds after becoming the active planner in which missing reports are not evaluated."""
 
 
 def _planner_order(member: Member) -> tuple[bool, float, str]:
-    """Return the order in which members take the planner's duty, the first first."""
+    """Return the sort key for the choice of the active planner; the lowest is chosen."""
     leaving = member.stopping or member.state is TargetState.DRAINING
     return leaving, -member.link_mbit_per_s, member.instance
 
 
 @dataclass(slots=True)
 class _Service:
-    """What is known of one keyed service."""
+    """State of one keyed service."""
 
     name: str
     entry: KeyMapEntry
     reports: dict[str, tuple[KeyReport, float]] = field(default_factory=dict)
     ended: set[str] = field(default_factory=set)
     confirmed_at: dict[str, float] = field(default_factory=dict)
-    """When an owner first acted on a map that changed its witnesses."""
+    """Time at which each owner first used a map that changed its witnesses."""
     load: LoadWatch = field(default_factory=lambda: LoadWatch(PlanLimits()))
     owners_since: float | None = None
     stopping: dict[str, bool] = field(default_factory=dict)
-    """Targets whose daemons were told to stop, and are to be started again; whether the
-    others have room for their keys meanwhile."""
+    """Targets whose daemons are restarting by a planned stop, and whether the other owners
+    have capacity for their keys in the meantime."""
     unreadable_since: float | None = None
-    """Since when the map's entry could not be read while no map was known; None if it can."""
+    """Time since which the map's entry could not be decoded and no map was known, or None."""
     working: bool = False
     former: FormerLeases = field(default_factory=FormerLeases)
     former_asked_at: float = float("-inf")
-    """When instances were last asked whether leases run by maps of earlier eras."""
+    """Time of the last query for leases under maps of earlier eras."""
 
 
 class KeyPlanner:
-    """Plans and writes key maps while this daemon has the duty."""
+    """Plans and writes key maps while this daemon is the active planner."""
 
     def __init__(
         self,
@@ -130,27 +130,27 @@
         self._registered = False
         self._active_planner: Member | None = None
         self._active_planner_inputs: tuple[int, bool] = (-1, False)
-        """Revision of the members, and state of the own entry, that the holder follows from."""
+        """Revision of the members, and whether this one is registered, used for the choice."""
         self._seen_at = float("-inf")
         self._seen: dict[str, tuple[str, float]] = {}
-        """Failure domain of each instance that had an entry, and when that was last seen."""
+        """Failure domain of each instance, and time at which its entry was last seen."""
         self._limits = PlanLimits()
         self._era = -1
         self._era_since = float("-inf")
-        """When this daemon first saw the present era of the store."""
+        """Time at which this daemon first saw the current era of the store."""
 
     # -- properties -------------------------------------------------------------
 
     @property
     def on_duty(self) -> bool:
-        """Whether this daemon has the duty."""
+        """Whether this daemon is the active planner."""
         return self._active_since is not None
 
     def duty_holder(self) -> Member | None:
-        """Return the member that has the duty, as this daemon sees it.
+        """Return the member that this daemon considers the active planner, or None.
 
-        Leaving ones come last; of the others the one with the fastest link is taken, as each
-        map goes from there to every member, and by name where links are alike.
+        Members that leave come last. Of the others the one with the fastest link is chosen, as
+        it sends each map to every member; ties are resolved by name.
         """
         inputs = (self._directory.revision, self._registered)
         if inputs != self._active_planner_inputs:
@@ -163,10 +163,10 @@
             )
         return self._active_planner
 
-    # -- what becomes known ------------------------------------------------------
+    # -- reports ------------------------------------------------------------------
 
     def reported(self, report: KeyReport) -> int:
-        """Take an owner's report; return the version of the map that it should know."""
+        """Process an owner's report; return the newest known version of the map."""
         now = boot_time()
         service = self._service(report.service)
         service.load.reported(report.counts, now)
@@ -184,18 +184,18 @@
             service = self._services[name] = _Service(name, entry)
         return service
 
-    # -- the duty -----------------------------------------------------------------
+    # -- planning -----------------------------------------------------------------
 
     def own_entry(self, there: bool) -> None:
-        """Take whether this daemon's own entry surely stands in the store.
+        """Set whether this daemon's own entry is certain to exist in the store.
 
-        While it may not, the others have another planner and report there: what is not
-        heard here then tells nothing. The duty begins anew with the entry's return.
+        If it may be missing, other daemons may choose another planner and report there, so
+        missing reports are no evidence. This daemon becomes active again with its entry.
         """
         self._registered = there
 
     def tick(self, keyed_services: tuple[str, ...], stopping: bool) -> None:
-        """Look whether this daemon has the duty, and do what is due."""
+        """Check whether this daemon is the active planner, and start the planning that is due."""
         holder = self.duty_holder()
         active = holder is not None and holder.instance == self._settings.instance and not stopping
         now = boot_time()
@@ -235,9 +235,11 @@
 
     async def _plan(self, name: str, service: _Service) -> None:
         now = boot_time()
-        told = now - self._era_since >= ERA_SETTLE_S
+        era_settled = now - self._era_since >= ERA_SETTLE_S
         try:
-            key_map = await service.entry.read(partial(self._rebuilt_map, service), told=told)
+            key_map = await service.entry.read(
+                partial(self._rebuilt_map, service), era_settled=era_settled
+            )
             if key_map is None:
                 await self._write_first(name, service, now)
                 return
@@ -256,7 +258,7 @@
             if planned.version != key_map.version:
                 await service.entry.write(planned, why)
         except MapNotSettled:
-            # Others may yet tell of a newer map: the next look is due in a moment.
+            # Other daemons may still report a newer map: planning is retried at the next tick.
             return
         except CasConflict as error:
             service.entry.invalidate()
@@ -266,7 +268,7 @@
             self._log.decided("planning_delayed", service=name, error=str(error))
 
     def _next_era_map(self, key_map: KeyMap, service: _Service, now: float) -> KeyMap | None:
-        """Return the next map once no lease can run by maps of earlier eras, or None."""
+        """Return the next map once no lease can be valid under maps of earlier eras, or None."""
         if not key_map.unsettled:
             if not has_former_fences(key_map):
                 return None
@@ -282,10 +284,10 @@
         return None
 
     def _instances(self, key_map: KeyMap, now: float) -> frozenset[str]:
-        """Return the instances that may have renewed leases lately.
+        """Return the instances that may have renewed leases recently.
 
-        A witness that has no entry may be cut off: it is waited for as long as for an entry
-        that lapsed.
+        A witness without an entry may only be partitioned: it is included for as long as an
+        instance whose entry has expired.
         """
         assert self._active_since is not None
         found = {i for i, (_, seen) in self._seen.items() if now - seen <= WITNESS_TIMEOUT_S}
@@ -294,15 +296,16 @@
         return frozenset(found)
 
     def former_over(self, instance: str, reply: ReleaseReply) -> None:
-        """An instance answers whether leases run there by maps of earlier eras."""
+        """Process an instance's reply on leases under maps of earlier eras."""
         if reply.released:
             self._service(reply.cell).former.over_at(instance, reply.version)
 
     def _rebuilt_map(self, service: _Service, fence: int) -> KeyMap | None:
-        """Return a first map once it is sure that nobody holds keys by a former one.
+        """Return a first map once it is certain that no keys are held under a former one.
 
-        Whoever holds keys has a lease, and all who renew it know the former map and tell its
-        version: every owner has to report that it knows none, for a lease and a hold.
+        A target that holds keys has a lease, and the witnesses that renew it know the former
+        map and report its version. Hence every owner must report that it knows no map, for
+        the duration of a lease and a hold.
         """
         now = boot_time()
         if service.unreadable_since is None:
@@ -323,7 +326,7 @@
         return replace(first, version=fence, fence=fence, ranges=ranges, unsettled=unsettled)
 
     async def _write_first(self, name: str, service: _Service, now: float) -> None:
-        """Make the first map once the owners that are there have had time to appear."""
+        """Write the first map once all running owners have had time to register."""
         owners = self._owners(name, service, now)
         if not owners:
             return
@@ -338,7 +341,7 @@
     # -- owners ------------------------------------------------------------------------
 
     def _owners(self, name: str, service: _Service, now: float) -> list[KeyOwner]:
-        """Return the targets that can own keys, in a fixed order."""
+        """Return the targets that can own keys, ordered by instance."""
         mean = self._mean_capacity(service, now)
         owners: list[KeyOwner] = []
         for member in sorted(self._directory.members, key=lambda m: m.instance):
@@ -355,10 +358,10 @@
                 continue
             if report.draining:
                 continue
-            # What a cold target bears is a limit that is set, not a speed that is measured.
+            # The capacity of a cold target is a configured limit, not a measured speed.
             least = 0.0 if member.cold_until > unix_time() else mean * MIN_RELATIVE_SPEED
             capacity = min(max(report.capacity, least), mean * MAX_RELATIVE_SPEED)
-            # What was granted by a map that the store may have lost tells nothing.
+            # Grants under a map that the store may have lost are no evidence.
             reported = era_of(report.version) == era_of(self._maps.version(name))
             confirmed = report.confirmed if reported else ()
             owners.append(KeyOwner(member.target, capacity, confirmed, reported))
@@ -379,13 +382,13 @@
     def _rebalanced(
         self, key_map: KeyMap, service: _Service, silent: frozenset[str], now: float
     ) -> KeyMap | None:
-        """Move keys where a target cannot own any more, or where load is uneven."""
+        """Return a map that moves keys off unavailable owners or balances the load, or None."""
         owners = self._owners(key_map.service, service, now)
         owners = [owner for owner in owners if owner.target not in silent]
         present = {owner.target for owner in owners}
-        unheard = self._unreported(key_map, service, present, now) - silent
-        unowned = any(r.owner not in present | unheard for r in key_map.ranges)
-        # While a map is unsettled, keys that move for their load rest for seconds.
+        unreported = self._unreported(key_map, service, present, now) - silent
+        unowned = any(r.owner not in present | unreported for r in key_map.ranges)
+        # While a map is unsettled, keys that move for load would be unavailable for seconds.
         if not unowned and (key_map.unsettled or not service.load.is_due(now)):
             return None
         load, surged = service.load.look(key_map, now)
@@ -397,7 +400,7 @@
         if not unowned and not service.load.may_move(now):
             return None
         planned = plan_moves(
-            key_map, owners, load, frozenset(service.ended), self._limits, fixed=unheard
+            key_map, owners, load, frozenset(service.ended), self._limits, fixed=unreported
         )
         if planned is None:
             return None
@@ -406,7 +409,7 @@
         self._log.decided(
             "keys_moved", service=key_map.service, version=planned.version,
             why="owners lost or leaving" if unowned else "uneven load", silent=sorted(silent),
-            unheard=len(unheard), asked_and_can={
+            unreported=len(unreported), asked_and_can={
                 o.target: [round(asked.get(o.target, 0.0)), round(o.capacity)]
                 for o in owners
             },
@@ -416,8 +419,8 @@
     def _unreported(
         self, key_map: KeyMap, service: _Service, present: set[str], now: float
     ) -> frozenset[str]:
-        """Return owners of which nothing is known yet: they may be about to report."""
-        unheard: set[str] = set()
+        """Return owners that may still report: without a current report and not known to leave."""
+        unreported: set[str] = set()
         for target in key_map.targets - present - service.ended:
             member = self._directory.member_of(target)
             report, age = self._report(service, target, now)
@@ -429,13 +432,13 @@
             if service.stopping.get(target):
                 continue
             if not (fresh and report is not None and report.draining):
-                unheard.add(target)
-        return frozenset(unheard)
+                unreported.add(target)
+        return frozenset(unreported)
 
-    # -- targets that were lost --------------------------------------------------------
+    # -- lost targets ------------------------------------------------------------------
 
     def _silent_targets(self, key_map: KeyMap, service: _Service, now: float) -> list[str]:
-        """Return targets whose daemons stopped reporting, or never reported and are gone."""
+        """Return targets whose daemons stopped reporting, or never reported and have no entry."""
         assert self._active_since is not None
         if now - self._active_since < GRACE_S + self._settings.silent_s:
             return []
@@ -457,9 +460,9 @@
         return RESTART_SILENCE_S if waits else self._settings.silent_s
 
     def _update_stopping(self, name: str, service: _Service, now: float) -> None:
-        """Decide once for each planned stop whether its target's keys go elsewhere meanwhile.
+        """Decide once for each planned stop whether the target's keys move to other owners.
 
-        Who has only just got the duty decides when the owners' reports have had time to come.
+        A planner that has just become active decides only after owners had time to report.
         """
         assert self._active_since is not None
         informed = now - self._active_since >= GRACE_S
@@ -478,17 +481,17 @@
 
     @staticmethod
     def _note_restarted(service: _Service, target: str, now: float) -> None:
-        """Take the new entry of a daemon that was stopped for a sign of life.
+        """Treat the new entry of a restarted daemon as a report.
 
-        Its first report follows a moment later; by the last one before the stop it would be
-        taken for silent just as it returns.
+        Its first report follows shortly; judged by its last one before the stop it would be
+        considered silent.
         """
         found = service.reports.get(target)
         if found is not None:
             service.reports[target] = (found[0], now)
 
     def _has_capacity_without(self, service: _Service, target: str, now: float) -> bool:
-        """Return whether the owners that stay can run what is asked of all."""
+        """Return whether the remaining owners have capacity for the load of all."""
         asked = service.load.rate(now)
         can = sum(
             report.capacity
@@ -503,7 +506,7 @@
     # -- witnesses -------------------------------------------------------------------
 
     def _with_witnesses(self, key_map: KeyMap, service: _Service, now: float) -> KeyMap:
-        """Return the map with a witness set of living instances for each target."""
+        """Return the map with a witness set of registered instances for each target."""
         candidates = [
             WitnessCandidate(instance, domain)
             for instance, (domain, seen) in sorted(self._seen.items())
@@ -513,7 +516,7 @@
         return with_witnesses(key_map, candidates, instances, self._settled(key_map, service, now))
 
     def _settled(self, key_map: KeyMap, service: _Service, now: float) -> frozenset[str]:
-        """Return targets that have long acted on their newer witness sets."""
+        """Return targets that have used their newer witness sets for SETTLE_LEASE_FACTOR leases."""
         settled: set[str] = set()
         for target in key_map.targets:
             report, age = self._report(service, target, now)
--- a/packages/daemon/src/pearward_daemon/mesh/target_end.py
+++ b/packages/daemon/src/pearward_daemon/mesh/target_end.py
@@ -1,4 +1,4 @@
-"""Finds out whether the target beside a daemon has ended: its port refuses, and refuses again."""
+"""Detects the termination of the local target: its port refuses connections twice."""
 
 from collections.abc import Callable
 from typing import Any
@@ -11,11 +11,11 @@
 __all__ = ["END_CHECK_S", "TerminationDetector"]
 
 END_CHECK_S = 0.25
-"""Seconds between looks for the end of a target that leaves, or whose port was closed."""
+"""Seconds between checks of a target that is draining or whose port refused a connection."""
 
 
 class TerminationDetector:
-    """Looks for the end of one target at a time, where there is a reason to."""
+    """Probes the port of the local target when its termination is suspected."""
 
     def __init__(
         self, client: ServerClient, on_listening: Callable[[], None], on_ended: Callable[[], None]
@@ -26,18 +26,18 @@
         self._refused_at: float | None = None
 
     def heartbeat_received(self) -> None:
-        """The target has sent a heartbeat, or another one has taken its place."""
+        """Reset after a heartbeat of this or of a new target."""
         self._refused_at = None
 
     def refused(self) -> bool:
-        """The target's port has refused a connection; return whether that is news."""
+        """Record that the port refused a connection; return whether this is the first refusal."""
         if self._refused_at is not None:
             return False
         self._refused_at = boot_time()
         return True
 
     def check(self, *, suspected: bool) -> None:
-        """Try the port if there is a reason to: no connection is left, and somebody doubts."""
+        """Probe the port if the target is suspected or was refused, and no connection is open."""
         if (suspected or self._refused_at is not None) and not self._client.open_connections:
             self._client.connect().addCallbacks(self._connected, self._not_connected)
 
@@ -46,7 +46,7 @@
         self._on_listening()
 
     def _not_connected(self, failure: Any) -> None:
-        """A second refusal, with no connection left, shows that the process has ended."""
+        """Report termination on a second refusal without an open connection."""
         failure.trap(ServerUnreachable)
         if not failure.value.refused:
             return
--- a/packages/daemon/src/pearward_daemon/mesh/target_lease.py
+++ b/packages/daemon/src/pearward_daemon/mesh/target_lease.py
@@ -1,8 +1,8 @@
-"""The lease under which this daemon grants keys, and the word of others' witnesses.
+"""The lease under which this daemon grants keys, and the releases that witnesses confirm.
 
-A majority of the target's witnesses renews the lease; the same instances tell the daemon
-of a new owner when the former owner's lease can no longer run. None of this needs the
-store, so keys stay where they are while it is away.
+A majority of the target's witnesses renews the lease. The same instances confirm to the daemon
+of a new owner that the former owner's lease has expired. None of this needs the store, so
+owners keep their keys while the store is unavailable.
 """
 
 from collections.abc import Callable
@@ -28,24 +28,24 @@
 __all__ = ["TargetLease", "Witnesses"]
 
 QUERY_DELAY_S = 0.5
-"""Seconds for which only the former owner's own daemon is asked to let keys go."""
+"""Seconds without a release by the former owner's daemon before its witnesses are queried."""
 
 Send = Callable[[str, ControlMessage], None]
 
 
 class Witnesses:
-    """This instance as a witness, one record for each service."""
+    """Serves this instance's role as a witness, with one record for each service."""
 
     def __init__(self, timing: GrantTiming, key_maps: KeyMaps) -> None:
         self._timing = timing
         self._maps = key_maps
         self._started = boot_time()
         self._read_era: int | None = None
-        """Era of the store in which this life first read the key maps; None before."""
+        """Era of the store in which this daemon first read the key maps; None before."""
         self._by_service: dict[str, TargetWitness] = {}
 
     def maps_read(self, era: int) -> None:
-        """The key maps were read from the store, in an era of it."""
+        """Record that key maps were read from the store in *era*; only the first call counts."""
         if self._read_era is not None:
             return
         self._read_era = era
@@ -53,12 +53,12 @@
             witness.map_read(era)
 
     def renew(self, request: Renew) -> RenewReply:
-        """Decide on a renewal."""
+        """Grant or refuse the renewal of an owner's lease."""
         known = self._maps.version(request.cell)
         return self._witness(request.cell).on_renew(request, known, boot_time())
 
     def release(self, request: AskRelease) -> ReleaseReply:
-        """Say whether an owner's lease is over."""
+        """Return whether an owner's lease has expired."""
         known = self._maps.version(request.cell)
         return self._witness(request.cell).on_ask_release(request, known, boot_time())
 
@@ -72,7 +72,7 @@
 
 
 class TargetLease:
-    """The lease of the target beside this daemon, and the releases that it waits for."""
+    """Holds the lease of the local target, and queries the releases that it waits for."""
 
     def __init__(
         self,
@@ -102,10 +102,10 @@
         self._pending_since: dict[str, float] = {}
         self._released: dict[tuple[str, int], set[str]] = {}
 
-    # -- the own lease --------------------------------------------------------------
+    # -- the local target's lease ---------------------------------------------------
 
     def renew(self) -> bool:
-        """Ask all witnesses for a renewal; return whether the lease was regained by that."""
+        """Request a renewal from all witnesses; return whether the lease was regained by it."""
         now = boot_time()
         key_map = self._maps.of(self._service)
         target = self._grant_manager.target
@@ -122,7 +122,7 @@
         return self._update_held(now)
 
     def _update_witnesses(self, key_map: KeyMap, target: str, now: float) -> None:
-        """Count on the set in force, and on nothing that was granted to another target."""
+        """Use the current witness set; drop renewals that were granted to another target."""
         if target != self._target:
             self._target = target
             self._lease = OwnerLease(self._timing.lease)
@@ -135,7 +135,7 @@
             self._grant_manager.lease_until(self._lease.valid_until)
 
     def renewed(self, sender: PeerId, reply: RenewReply) -> bool:
-        """Take a witness's answer; return whether the lease was regained by it."""
+        """Process a witness's renewal reply; return whether the lease was regained by it."""
         now = boot_time()
         name = self._name_of(sender.address)
         if name is not None and reply.owner == self._target:
@@ -148,7 +148,7 @@
             self._grant_manager.lease_until(self._lease.valid_until)
 
     def _update_held(self, now: float) -> bool:
-        """Log a lease that was gained or lost; return whether it was gained."""
+        """Log a change of the lease's state; return whether the lease was regained."""
         held = self._lease.held(now)
         if held == self._held:
             return False
@@ -167,10 +167,10 @@
                 return name
         return None
 
-    # -- releases of others ------------------------------------------------------------
+    # -- releases by predecessors ------------------------------------------------------
 
     def ask_releases(self) -> None:
-        """Ask the witnesses of predecessors that were silent for a while."""
+        """Query the witnesses of predecessors whose keys have been pending for QUERY_DELAY_S."""
         now = boot_time()
         key_map = self._maps.of(self._service)
         if key_map is None:
@@ -185,7 +185,7 @@
         request = AskRelease(self._service, target, key_map.version)
         sets = key_map.witnesses_of(target)
         if not sets:
-            # Without witnesses the target has never had a lease to hold keys under.
+            # Without witnesses the target never had a lease, so it cannot hold keys.
             self._confirm(key_map, target)
             return
         for name in {name for names in sets for name in names}:
@@ -195,7 +195,7 @@
                 self._send(member.peer_address, request)
 
     def released(self, sender: PeerId, reply: ReleaseReply) -> bool:
-        """Take a witness's answer; return whether keys can be granted by it."""
+        """Process a witness's release reply; return whether keys can be granted by it."""
         key_map = self._maps.of(self._service)
         if key_map is None or not reply.released:
             return False
@@ -208,7 +208,7 @@
         return confirmed
 
     def _count_release(self, name: str, reply: ReleaseReply, key_map: KeyMap) -> bool:
-        """Count a release; a majority of each of the target's sets is enough."""
+        """Count a release; confirm it once a majority of each of the target's sets agrees."""
         if not reply.released or reply.version != key_map.version:
             return False
         self._released = {k: v for k, v in self._released.items() if k[1] == key_map.version}
@@ -220,7 +220,7 @@
         return False
 
     def _confirm(self, key_map: KeyMap, target: str) -> bool:
-        """The former owner's lease is over: none of the pending keys can be held there."""
+        """Mark the pending keys of a former owner as released: its lease has expired."""
         confirmed = 0
         for pending in self._grant_manager.pending(boot_time()):
             for predecessor in pending.predecessors:
--- a/packages/daemon/src/pearward_daemon/mesh/target_request.py
+++ b/packages/daemon/src/pearward_daemon/mesh/target_request.py
@@ -1,4 +1,4 @@
-"""One request at the daemon beside its target: admission, the exchange, a whole answer."""
+"""One request for the local target: admission, the exchange and the complete response."""
 
 from __future__ import annotations
 
@@ -27,33 +27,33 @@
 
 MS_PER_S = 1000
 BUFFERED_BODY = COUNTED_BODY
-"""A request body up to this length is waited for before the target is troubled with it."""
+"""Maximum length in bytes of a request body that is received completely before it is sent."""
 BUFFERED_RESPONSE = 65_536
-"""An answer up to this length is passed on only when it is whole."""
+"""Maximum length in bytes of a response that is forwarded only once it is complete."""
 BAD_GATEWAY, UNAVAILABLE, GATEWAY_TIMEOUT = 502, 503, 504
 _NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
-"""Statuses that promise that a request has not run."""
+"""Statuses by which callers conclude that a request has not run."""
 
 
 class TargetRequest:
-    """One request for the target beside this daemon."""
+    """Handles one request for the local target."""
 
     def __init__(
         self,
-        side: TargetSide,
+        local_target: TargetSide,
         head: RequestHead,
         ended: bool,
         body: bytes,
         reply: ReplySink,
     ) -> None:
-        self._side = side
+        self._local_target = local_target
         self._head = head
         self._reply = reply
         self._arrived = boot_time()
         self._deadline = self._arrived + head.deadline_ms / MS_PER_S
         self._body = [body] if body else []
-        self._whole_body = b""
-        """The body as the target got it, if it was whole before; its content may be asked for."""
+        self._sent_body = b""
+        """The body as sent, if it was complete before; kept to compute the content digest."""
         self._body_ended = ended
         self._streaming = False
         self._body_paused = False
@@ -66,9 +66,9 @@
         self._buffered_head: ResponseHead | None = None
         self._buffered_body: list[bytes] = []
         self._facts: AnswerFacts | None = None
-        """What the headers of the answer that is coming in say; accepts() reads them."""
+        """Parsed headers of the current response, set by accepts()."""
         self._rejection_reason: Reason | None = None
-        """Why the answer that is coming in will not be passed on."""
+        """Why the current response will not be forwarded; None if it will be."""
         self._timer: Any = None
         self._wait_timer: Any = None
 
@@ -76,56 +76,56 @@
 
     @property
     def head(self) -> RequestHead:
-        """What is asked for."""
+        """Head of the request."""
         return self._head
 
     @property
     def position(self) -> int:
-        """The key that it asks for."""
+        """Position of its key in the key space."""
         return self._head.position
 
     @cached_property
     def content(self) -> str:
-        """What it asks for, the same for every id under which it comes."""
+        """Digest of what the request asks for, the same for every request id."""
         head = self._head
-        named = self._side.named(head.headers)
-        body = self._whole_body or b"".join(self._body)
+        named = self._local_target.named(head.headers)
+        body = self._sent_body or b"".join(self._body)
         return content_digest(head.method, head.path, named, head.body_length, body)
 
     @property
     def needs_link(self) -> bool:
-        """Whether a long answer will have to pass the instance's link."""
+        """Whether a long response will have to cross the instance's link."""
         return self._head.request_class is RequestClass.EXPORT and self._reply.passes_link
 
     @property
     def is_last_target(self) -> bool:
-        """Whether no other target will be asked for a slot."""
+        """Whether this is the last target from which the requester will request a slot."""
         return self._head.last_target
 
     @property
     def done(self) -> bool:
-        """Whether it was answered or given up."""
+        """Whether it was answered or abandoned."""
         return self._done
 
     # -- admission ------------------------------------------------------------------
 
     def begin(self) -> None:
-        """Check and admit the request, once a short body is whole."""
-        self._timer = self._side.call_later(
+        """Admit the request, once a short body is complete."""
+        self._timer = self._local_target.call_later(
             max(0.0, self._deadline - boot_time()), self._deadline_passed
         )
         if self._body_ended or not 0 <= self._head.body_length <= BUFFERED_BODY:
             self.admit()
 
     def admit(self) -> None:
-        """Ask whether the target may run the request now, then for a slot."""
+        """Check whether the target may run the request now, then request a slot."""
         if self._done:
             return
-        barred = self._side.barred(self._head)
+        barred = self._local_target.barred(self._head)
         if barred is Reason.NOT_READY and self._park():
             return
         if barred is not None:
-            self._refuse(barred, retry_after_s=self._side.back_after_s(barred))
+            self._refuse(barred, retry_after_s=self._local_target.back_after_s(barred))
             return
         self._cancel_wait()
         if self._ticket is not None:
@@ -140,7 +140,7 @@
             idle_only=self._head.idle_only,
             key=self._head.position if self._head.key else None,
         )
-        offered = self._side.slots.offer(self, ticket)
+        offered = self._local_target.slots.offer(self, ticket)
         if isinstance(offered, Refused):
             self._refuse(Reason.OVERLOADED, retry_after_s=offered.retry_after_s)
             return
@@ -148,37 +148,40 @@
         if offered:
             self.start()
         else:
-            self._wait_timer = self._side.call_later(
-                self._side.slots.patience_s(ticket), self._queue_wait_expired
+            self._wait_timer = self._local_target.call_later(
+                self._local_target.slots.patience_s(ticket), self._queue_wait_expired
             )
 
     def _park(self) -> bool:
-        """Wait for the key; return False where it will not be there in time."""
-        patience_s = self._side.park(self, self._deadline - boot_time())
+        """Wait for the key; return False if it will not be granted in time."""
+        patience_s = self._local_target.park(self, self._deadline - boot_time())
         if patience_s <= 0.0:
             return False
         if self._wait_timer is None:
-            self._wait_timer = self._side.call_later(patience_s, self._key_wait_expired)
+            self._wait_timer = self._local_target.call_later(patience_s, self._key_wait_expired)
         return True
 
     def _key_wait_expired(self) -> None:
-        """The former owner takes longer than a caller should wait: let it try again."""
+        """Refuse the request: the former owner takes longer than a caller should wait."""
         self._wait_timer = None
         if not self._done and self._ticket is None:
-            self._refuse(Reason.NOT_READY, retry_after_s=self._side.back_after_s(Reason.NOT_READY))
+            self._refuse(
+                Reason.NOT_READY, retry_after_s=self._local_target.back_after_s(Reason.NOT_READY)
+            )
 
     def _queue_wait_expired(self) -> None:
-        """The queue moves slower than was expected: let the caller try again in time."""
+        """Refuse the request while a retry can be in time: the queue is slower than estimated."""
         self._wait_timer = None
         if not self._done and self._ticket is not None and self._ticket.waiting:
             self._refuse(
-                Reason.OVERLOADED, retry_after_s=self._side.slots.retry_after_s(self._ticket)
+                Reason.OVERLOADED,
+                retry_after_s=self._local_target.slots.retry_after_s(self._ticket),
             )
 
     def start(self) -> None:
-        """A slot is free: get a connection, if the target may still run the request."""
+        """Use the granted slot: get a connection if the target may still run the request."""
         self._cancel_wait()
-        barred = self._side.barred(self._head)
+        barred = self._local_target.barred(self._head)
         if barred is not None:
             self._release_slot()
             self._ticket = None
@@ -186,22 +189,22 @@
             return
         if self._refused_as_cold() or self._refused_by_crashes():
             return
-        connection = self._side.client.take()
+        connection = self._local_target.client.take()
         if connection is not None:
             self._send(connection)
         else:
-            self._side.client.connect().addCallbacks(self._send, self._no_connection)
+            self._local_target.client.connect().addCallbacks(self._send, self._no_connection)
 
     def _refused_as_cold(self) -> bool:
-        """Refuse the request if the target is cold and has got all that it bears for now."""
-        room_in_s = self._side.slots.cold.room_in_s(boot_time())
+        """Refuse the request if the target is cold and its current capacity is used up."""
+        room_in_s = self._local_target.slots.cold.room_in_s(boot_time())
         if room_in_s > 0.0:
             self._refuse(Reason.OVERLOADED, detail="target is cold", retry_after_s=room_in_s)
         return room_in_s > 0.0
 
     def _refused_by_crashes(self) -> bool:
-        """Refuse the request if targets crashed while they ran what it asks for."""
-        barred = self._side.quarantine_rejection(self)
+        """Refuse the request if it is quarantined: targets crashed while they ran its content."""
+        barred = self._local_target.quarantine_rejection(self)
         if barred is not None:
             self._refuse(
                 Reason.QUARANTINED, detail=barred.detail, retry_after_s=barred.back_after_s
@@ -209,19 +212,19 @@
         return barred is not None
 
     def waited_too_long(self) -> None:
-        """The request waited so long that it could not be answered any more."""
+        """Refuse the request: it could no longer be answered before its deadline."""
         self._ticket = None
         self._refuse(Reason.DEADLINE)
 
     def _send(self, connection: ServerConnection) -> None:
-        """Hand the request over, if at this last moment it still may be."""
+        """Send the request to the target after a last check that it may run it."""
         if self._done:
             connection.abort()
             return
-        barred = self._side.barred(self._head)
+        barred = self._local_target.barred(self._head)
         if barred is not None:
             connection.abort()
-            self._refuse(barred, retry_after_s=self._side.back_after_s(barred))
+            self._refuse(barred, retry_after_s=self._local_target.back_after_s(barred))
             return
         if self._refused_as_cold() or self._refused_by_crashes():
             connection.abort()
@@ -233,12 +236,12 @@
             return
         self._connection = connection
         self._sent = True
-        self._side.sent(self._head, left_ms)
-        headers = self._side.headers(self._head, left_ms)
+        self._local_target.sent(self._head, left_ms)
+        headers = self._local_target.headers(self._head, left_ms)
         data = b"".join(self._body)
         self._body = []
         if self._body_ended:
-            self._whole_body = data
+            self._sent_body = data
             connection.send(self._head.method, self._head.path, headers, data, self)
         else:
             self._streaming = True
@@ -250,16 +253,16 @@
 
     def _no_connection(self, failure: Failure) -> None:
         failure.trap(ServerUnreachable)
-        self._side.unreachable(failure.value)
+        self._local_target.unreachable(failure.value)
         self._refuse(Reason.UNREACHABLE, detail=failure.getErrorMessage())
 
-    # -- what the requester sends --------------------------------------------------
+    # -- the requester --------------------------------------------------------------
 
     def response_received(self, head: ResponseHead, ended: bool, body: bytes) -> None:
-        """Never happens at this end of a stream."""
+        """Do nothing: this end of a stream receives no response."""
 
     def data_received(self, data: bytes, ended: bool) -> None:
-        """Take a chunk of the request's body."""
+        """Buffer or forward a chunk of the request's body."""
         if self._done:
             return
         self._body_ended = self._body_ended or ended
@@ -275,20 +278,20 @@
             self.admit()
 
     def reset_received(self, code: ResetCode) -> None:
-        """The requester gave up."""
+        """Cancel the request: the requester reset the stream."""
         self._finish(Outcome.UNKNOWN if self._sent else Outcome.NOT_RUN, Reason.CANCELLED)
 
     def connection_lost(self) -> None:
-        """Nobody is left to answer to."""
+        """Cancel the request: the connection to the requester was lost."""
         self._finish(Outcome.UNKNOWN if self._sent else Outcome.NOT_RUN, Reason.CANCELLED)
 
     def writable(self) -> None:
-        """The requester can take more of the answer."""
+        """Resume the response: the requester accepts more data."""
         if self._connection is not None and self._response_started and not self._done:
             self._connection.resume()
 
     def _credit(self, count: int) -> None:
-        """Let the requester send more, unless the target is behind."""
+        """Return flow-control credit to the requester, unless the target has paused the body."""
         self._uncredited += count
         if not self._body_paused and self._uncredited:
             count, self._uncredited = self._uncredited, 0
@@ -297,22 +300,22 @@
     # -- the target ---------------------------------------------------------------------
 
     def body_paused(self) -> None:
-        """The target takes no more of the body for now."""
+        """Pause the body: the target accepts no more data for now."""
         self._body_paused = True
 
     def body_resumed(self) -> None:
-        """The target takes more of the body."""
+        """Resume the body: the target accepts more data."""
         self._body_paused = False
         self._credit(0)
 
     def accepts(self, headers: bytes) -> bool:
-        """Return whether an answer is to this request, and not a surplus one to another."""
-        self._facts = self._side.facts(headers)
+        """Return whether a response belongs to this request, not a surplus one to another."""
+        self._facts = self._local_target.facts(headers)
         answered_id = self._facts.request_id
         return not answered_id or answered_id == self._head.request_id
 
     def answer_head(self, status: int, headers: bytes, length: int) -> None:
-        """The target answers: what is not its own whole answer goes no further."""
+        """Process the head of a response; an invalid response is not forwarded."""
         if self._done or self._facts is None:
             return
         self._rejection_reason = _rejection_reason(status, self._facts)
@@ -322,18 +325,18 @@
             status,
             Outcome.SERVED,
             headers=headers,
-            version=self._side.map_version,
+            version=self._local_target.map_version,
             body_length=length,
-            load=self._side.slots.load(),
+            load=self._local_target.slots.load(),
         )
         if length <= BUFFERED_RESPONSE:
-            # Also where the length is unknown: the part that fits is held back.
+            # Also with an unknown length (-1): the part that fits is buffered.
             self._buffered_head = head
             return
         self._start_response(head)
 
     def answer_data(self, data: bytes) -> None:
-        """Take a chunk of the answer's body."""
+        """Buffer or forward a chunk of the response's body."""
         if self._done or self._rejection_reason is not None:
             return
         if self._buffered_head is not None:
@@ -345,7 +348,7 @@
             self._connection.pause()
 
     def answer_ended(self) -> None:
-        """The target's answer is whole."""
+        """Complete the response, or reject it."""
         if self._done:
             return
         if self._rejection_reason is not None:
@@ -358,7 +361,7 @@
         self._finish(Outcome.SERVED, None)
 
     def exchange_failed(self, detail: str) -> None:
-        """The connection ended, or broke the protocol, before the answer was whole."""
+        """Fail the request: the connection ended or broke the protocol during the exchange."""
         if not self._done:
             self._fail_after_sent(Reason.SERVER_FAILED, detail)
 
@@ -368,7 +371,7 @@
         self._reply.respond(head, ended=False)
 
     def _stop_buffering(self) -> None:
-        """The answer is longer than what is held back: pass on what is here."""
+        """Forward the buffered part of a response that exceeds the buffer limit."""
         head, self._buffered_head = self._buffered_head, None
         assert head is not None
         data, self._buffered_body = b"".join(self._buffered_body), []
@@ -377,18 +380,18 @@
             self._connection.pause()
 
     def _send_whole(self, head: ResponseHead, body: bytes) -> None:
-        whole = replace(head, body_length=len(body))
+        complete = replace(head, body_length=len(body))
         if len(body) <= SHORT_BODY:
-            self._reply.respond(whole, ended=True, body=body)
+            self._reply.respond(complete, ended=True, body=body)
         else:
-            self._reply.respond(whole, ended=False)
+            self._reply.respond(complete, ended=False)
             self._reply.send_data(body, ended=True)
 
     def _reject_response(self, verdict: Reason) -> None:
-        """The target's whole answer says that it is not the caller's."""
+        """Report a complete response that cannot be forwarded to the caller."""
         if verdict is Reason.TARGET_REFUSED:
             self._sent = False
-            self._refuse(verdict, retry_after_s=self._side.back_after_s(verdict))
+            self._refuse(verdict, retry_after_s=self._local_target.back_after_s(verdict))
         else:
             self._fail_after_sent(verdict)
 
@@ -402,7 +405,7 @@
             self._refuse(Reason.DEADLINE)
 
     def _refuse(self, reason: Reason, *, detail: str = "", retry_after_s: float = 0.0) -> None:
-        """Answer that the request has not run and will not."""
+        """Respond that the request has not run and will not run."""
         if self._done:
             return
         self._respond(
@@ -412,13 +415,13 @@
                 status=UNAVAILABLE,
                 detail=detail,
                 retry_after_s=retry_after_s,
-                version=self._side.map_version,
+                version=self._local_target.map_version,
             )
         )
         self._finish(Outcome.NOT_RUN, reason, detail)
 
     def _fail_after_sent(self, reason: Reason, detail: str = "", status: int = BAD_GATEWAY) -> None:
-        """Say that the request may have run, or break off an answer that was begun."""
+        """Respond that the request may have run, or reset a response that was started."""
         if self._done:
             return
         if self._response_started:
@@ -428,8 +431,8 @@
         self._finish(Outcome.UNKNOWN, reason, detail)
 
     def _respond(self, head: ResponseHead) -> None:
-        """Send an answer of this daemon's own, with the target's load."""
-        self._reply.respond(replace(head, load=self._side.slots.load()), ended=True)
+        """Send a response generated by this daemon, with the target's load."""
+        self._reply.respond(replace(head, load=self._local_target.slots.load()), ended=True)
 
     def _cancel_timer(self) -> None:
         if self._timer is not None:
@@ -443,35 +446,35 @@
 
     def _release_slot(self, *, measured: bool = False) -> None:
         if self._ticket is not None:
-            self._side.slots.finished(self._ticket, measured=measured)
+            self._local_target.slots.finished(self._ticket, measured=measured)
             self._ticket = None
 
     def _finish(self, outcome: Outcome, reason: Reason | None, detail: str = "") -> None:
-        """Give back everything that the request held."""
+        """Release the resources of the request."""
         if self._done:
             return
         self._done = True
         self._cancel_timer()
         self._cancel_wait()
-        self._side.unpark(self)
-        whole = outcome is Outcome.SERVED or (
+        self._local_target.unpark(self)
+        complete = outcome is Outcome.SERVED or (
             reason in (Reason.TARGET_REFUSED, Reason.TARGET_FAILED)
         )
-        if self._connection is not None and not whole:
+        if self._connection is not None and not complete:
             self._connection.abort()
         self._connection = None
         if not self._body_ended:
             self._reply.reset(ResetCode.CANCELLED)
         self._release_slot(measured=outcome is Outcome.SERVED)
-        self._side.ended(self, outcome, reason, detail, boot_time() - self._arrived)
+        self._local_target.ended(self, outcome, reason, detail, boot_time() - self._arrived)
 
 
 def _rejection_reason(status: int, facts: AnswerFacts) -> Reason | None:
-    """Return why an answer cannot be passed on as it is, or None."""
+    """Return why a response cannot be forwarded, or None."""
     if facts.not_run or (facts.other_target and status == 421):
         return Reason.TARGET_REFUSED
     if status in _NOT_RUN_STATUSES:
-        # Without the target's word the promise in this status may be false.
+        # Without the header that confirms it, the request may have run despite this status.
         return Reason.TARGET_FAILED
     if not facts.request_id or facts.encoded:
         return Reason.SPOILT
--- a/packages/daemon/src/pearward_daemon/mesh/target_side.py
+++ b/packages/daemon/src/pearward_daemon/mesh/target_side.py
@@ -1,4 +1,4 @@
-"""The target beside this daemon: its heartbeats, its keys, its slots and its requests."""
+"""The local target of a daemon: its heartbeats, keys, slots and requests."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, replace
@@ -36,24 +36,25 @@
 __all__ = ["LocalTargetListener", "TargetInfo", "TargetSide"]
 
 HEARTBEAT_TIMEOUT_S = 4.0
-"""Seconds without a heartbeat after which a target counts as leaving: they may be late by
-seconds, and a target that is gone is found out sooner by its connections."""
+"""Seconds without a heartbeat after which a target is published as draining. Heartbeats may be
+late by seconds; a terminated target is detected sooner by its connections."""
 DRAIN_FRACTION = 0.6
-"""Part of the drain time in which a leaving target still gets requests that are on their way."""
+"""Fraction of the drain time in which a draining target still accepts requests in transit."""
 MOVED_RETRY_S = 0.05
-"""Seconds after which the owner of a key is asked again."""
+"""Seconds after which a caller should retry a request that was refused as moved."""
 COLD_ESTIMATE_TOLERANCE_S = 1.0
-"""Seconds by which a target's own estimate of its cold time must differ to be told anew."""
+"""Seconds by which a target's estimate of its cold time must change to be published again."""
 MAX_LOGGED_IDS = 64
-"""Ids of unreadable heartbeats that are told of: more come from no target."""
+"""Number of target ids for which an unreadable heartbeat is logged; real targets do not use
+more than these."""
 MS_PER_S = 1000
 RESTART_S = 1.2
-"""Seconds after which a daemon that ends now serves its target again."""
+"""Seconds until a daemon that shuts down now is restarted and serves its target again."""
 
 
 @dataclass(frozen=True, slots=True)
 class TargetInfo:
-    """What this daemon tells the others of its target."""
+    """State of the local target as published to other daemons."""
 
     target: str
     slots: int
@@ -62,23 +63,23 @@
 
 
 class LocalTargetListener(Protocol):
-    """What is told of the target beside this daemon."""
+    """Receives changes of the local target."""
 
     def target_info_changed(self, info: TargetInfo | None) -> None:
-        """The target began, changed or ended (None)."""
+        """Handle a target that started, changed or terminated (None)."""
 
     def keys_changed(self) -> None:
-        """The target let keys go, or its keys can be asked for anew."""
+        """Handle keys that the target released, or a new set of keys that it owns."""
 
     def keys_wanted(self) -> None:
-        """Predecessors have to be asked for keys."""
+        """Request keys from their predecessors."""
 
     def map_wanted(self) -> None:
-        """The target has seen a newer key map than this daemon."""
+        """Fetch the key map: the target has seen a newer one than this daemon."""
 
 
 class TargetSide:
-    """Everything that concerns the target beside this daemon."""
+    """Manages the local target: heartbeats, key grants, slots and requests."""
 
     def __init__(
         self,
@@ -105,7 +106,7 @@
         self._guard = guard
         self._termination = TerminationDetector(client, self._target_listening, self._target_ended)
         self._delivery = self._make_delivery(settings.grant_way, grants)
-        self._heartbeats = BeatClock()
+        self._incarnations = BeatClock()
         self._info: TargetInfo | None = None
         self._keyed = False
         self._drained_since: float | None = None
@@ -117,7 +118,7 @@
         self._reported_ended: list[str] = []
         self._slowness = 1.0
         self._unreadable: set[str] = set()
-        """Ids whose heartbeats could not be read, told once each."""
+        """Ids whose unreadable heartbeats have been logged; each is logged once."""
 
     def _make_delivery(self, mode: GrantWay, grants: GrantPort) -> GrantDelivery:
         if mode is GrantWay.CALL:
@@ -133,47 +134,47 @@
 
     @property
     def client(self) -> ServerClient:
-        """Connections to the target."""
+        """Client that holds the connections to the target."""
         return self._client
 
     @property
     def keeper(self) -> GrantKeeper:
-        """What the target may hold."""
+        """Manager of the keys that are granted to the target."""
         return self._grant_manager
 
     @property
     def slots(self) -> TargetSlots:
-        """Which requests run at the target, and which wait."""
+        """Slots of the target, with running and queued requests."""
         return self._slots
 
     @property
     def info(self) -> TargetInfo | None:
-        """What the others are told; None while there is no target."""
+        """Published state of the target; None while there is no target."""
         return self._info
 
     @property
     def map_version(self) -> int:
-        """Version of the key map that is acted on; 0 before there is one."""
+        """Version of the key map in use; 0 before there is one."""
         key_map = self._grant_manager.key_map
         return key_map.version if key_map is not None else 0
 
     @property
     def slowness(self) -> float:
-        """Time that the target's work takes over its usual time, as it told last."""
+        """Ratio of the target's current to its usual processing time, as it last reported."""
         return self._slowness
 
     @property
     def drained_since(self) -> float | None:
-        """Since when the failure domain is drained, in s of the steady clock; None if not."""
+        """Start of the failure domain's drain in s of the steady clock; None if not drained."""
         return self._drained_since
 
     @property
     def open_requests(self) -> int:
-        """Requests that are not answered yet."""
+        """Number of requests without a complete response."""
         return len(self._open)
 
     def listen(self, listener: LocalTargetListener) -> None:
-        """Tell *listener* of changes from now on."""
+        """Notify *listener* of changes, and start to watch the target process."""
         self._listener = listener
         self._reactor.callLater(END_CHECK_S, self._watch_target)
 
@@ -184,29 +185,24 @@
     # -- heartbeats -------------------------------------------------------------------
 
     def beat(self, beat: TargetBeat) -> "Deferred[BeatAnswer]":
-        """Take a heartbeat; its answer may wait for a change of the target's keys."""
+        """Process a heartbeat; its response may be delayed until the target's keys change."""
         now = boot_time()
         if beat.service != self._settings.service:
             self.unreadable_beat(beat.target, f"service {beat.service!r} does not run here")
             return succeed(BeatAnswer())
         told = self._settings.grant_way is GrantWay.HEARTBEAT
-        sign = BeatSign(
-            beat.target,
-            beat.born_ms,
-            beat.sequence,
-            told and not beat.held,
-        )
-        incarnation = self._heartbeats.incarnation_of(sign, now, round(unix_time() * MS_PER_S))
+        sign = BeatSign(beat.target, beat.born_ms, beat.sequence, told and not beat.held)
+        incarnation = self._incarnations.incarnation_of(sign, now, round(unix_time() * MS_PER_S))
         if incarnation is None:
             return succeed(BeatAnswer())
         beat = replace(beat, target=incarnation)
         if self._grant_manager.has_ended(beat.target) or self._is_stale(beat, now):
             self._log.decided(
                 "late_heartbeat_ignored", target=beat.target, sequence=beat.sequence,
-                present=self._grant_manager.target, heard_s=round(now - self._heartbeats.last, 3),
+                present=self._grant_manager.target, heard_s=round(now - self._incarnations.last, 3),
             )  # fmt: skip
             return succeed(BeatAnswer())
-        self._heartbeats.heard(now)
+        self._incarnations.heard(now)
         self._silent = False
         self._termination.heartbeat_received()
         if beat.target != self._grant_manager.target:
@@ -216,30 +212,32 @@
         self._update_state(beat, now)
         if beat.released and self._listener is not None:
             self._listener.keys_changed()
-        answer = self._delivery.respond(
+        response = self._delivery.respond(
             now, at_once=bool(beat.released) or self._leaving_since is not None
         )
         self.reconsider()
-        return answer
+        return response
 
     def unreadable_beat(self, target: str, error: str) -> None:
-        """A heartbeat cannot be read: it names no target to use, and changes nothing."""
+        """Log an unreadable heartbeat once for each target id; it changes nothing else."""
         if target not in self._unreadable and len(self._unreadable) < MAX_LOGGED_IDS:
             self._unreadable.add(target)
             self._log.decided("heartbeat_unreadable", failure=True, target=target, error=error)
 
     def _is_stale(self, beat: TargetBeat, now: float) -> bool:
-        """Whether a heartbeat is a late one of a former target."""
+        """Return whether a heartbeat is a delayed one of a former target."""
         present = self._grant_manager.target
         if not present or beat.target == present:
             return False
         if target_id(beat.target) == target_id(present):
-            # The later life of one id: an earlier one's heartbeats were sorted out before.
+            # A later incarnation of this id: those of earlier ones were already filtered out.
             return False
-        return self._heartbeats.is_from_the_past(beat.sequence, self._client.open_connections, now)
+        return self._incarnations.is_from_the_past(
+            beat.sequence, self._client.open_connections, now
+        )
 
     def leave(self, leave: TargetLeave) -> None:
-        """The target says that it ends soon, without heartbeats from now on."""
+        """Mark the target as draining: it announced its end and sends no more heartbeats."""
         if self._info is None or leave.target != target_id(self._info.target):
             return
         self._log.decided("target_leaves", target=self._info.target, how="without notice")
@@ -250,10 +248,10 @@
     def _begin_incarnation(self, beat: TargetBeat) -> None:
         former = self._grant_manager.target
         if former:
-            self._record_end(former, "its next life beats")
+            self._record_end(former, "heartbeat of its next incarnation")
         self._guard.target_began()
         same_id = bool(former) and target_id(former) == target_id(beat.target)
-        if same_id and self._heartbeats.is_supposed(target_id(beat.target)):
+        if same_id and self._incarnations.is_supposed(target_id(beat.target)):
             self._grant_manager.target_supposed(beat.target, boot_time())
         else:
             self._grant_manager.target_changed(beat.target)
@@ -269,7 +267,7 @@
         )  # fmt: skip
 
     def _update_state(self, beat: TargetBeat, now: float) -> None:
-        """Publish what the heartbeat changed."""
+        """Publish the state of the target if a heartbeat changed it."""
         if beat.state is TargetState.DRAINING and self._leaving_since is None:
             self._log.decided("target_leaves", target=beat.target, how="draining")
             self._leaving_since = now
@@ -296,13 +294,13 @@
             self._publish(TargetInfo(info.target, info.slots, self._state(), info.cold_until))
 
     def stop(self) -> None:
-        """This daemon stops: let others have the target's work, unless only it holds the keys."""
+        """Stop this daemon: publish the target as draining, unless it owns keys."""
         self._stopping = True
         self._publish_state()
         self.reconsider()
 
     def reconsider(self) -> None:
-        """Answer a waiting heartbeat now if the target's keys are to change."""
+        """Deliver due grants and releases, request missing keys, re-evaluate parked requests."""
         now = boot_time()
         keeper = self._grant_manager
         if keeper.must_let_go(now) or keeper.ready_to_begin(now) or self._stopping:
@@ -311,7 +309,7 @@
         self._parked.admit_all()
 
     def _request_pending(self, now: float) -> None:
-        """Ask for keys that others still have; log how long they were waited for."""
+        """Request keys that predecessors still hold; log the waiting time once all are released."""
         pending = self._grant_manager.pending(now)
         if pending:
             self._parked.gap.begun(now)
@@ -324,29 +322,29 @@
             )  # fmt: skip
 
     def refuse_new(self) -> None:
-        """Begin no further request at the target: this daemon ends in a moment."""
+        """Refuse new requests for the target because this daemon is about to shut down."""
         self._refusing = True
 
     # -- keys ------------------------------------------------------------------------
 
     def set_rules(self, rules: ServiceRules | None) -> None:
-        """Take what the configuration says of the target's service."""
+        """Apply the configuration of the target's service."""
         self._keyed = rules is not None and rules.keyed
         self._delivery.set_keyed(self._keyed)
         per_s = rules.cold_per_s if rules is not None else 0.0
         self._slots.cold.set_rate(per_s * self._settings.cold_overage)
 
     def set_drained(self, since: float | None) -> None:
-        """Take since when the target's failure domain is drained; None where it is not.
+        """Set when the drain of the target's failure domain began; None if it is not drained.
 
-        Targets turn cold while nothing is sent to them; a heartbeat tells it later.
+        A target without requests may turn cold, and its heartbeat reports this only later.
         """
         if since is None and self._drained_since is not None:
             self._slots.cold.doubt(boot_time())
         self._drained_since = since
 
     def adopt(self, key_map: KeyMap) -> None:
-        """Act on a newer key map."""
+        """Adopt a newer key map."""
         if not self._grant_manager.adopt(key_map, boot_time()):
             return
         owned = key_map.owned_by(self._grant_manager.target)
@@ -360,7 +358,7 @@
             self._listener.keys_changed()
 
     def released_elsewhere(self, predecessor: Predecessor, rows: tuple[ReleasedRow, ...]) -> None:
-        """A predecessor let keys go that are to be this target's."""
+        """Record the release of keys by a predecessor of the local target."""
         for row in rows:
             self._grant_manager.released(predecessor, row)
         self.reconsider()
@@ -370,12 +368,12 @@
             self._listener.keys_changed()
 
     def _other_target_found(self, addressed: str) -> None:
-        """Another incarnation has the address of the one that beat: the next beat tells which.
+        """Record that another incarnation replies at the address; the next heartbeat identifies it.
 
-        A heartbeat that was held up for long can pass for the first one after a restart of
-        this daemon; without this the living target's own would be taken for the late one.
+        After a restart of this daemon, a long delayed heartbeat may be accepted as the first
+        one; without this record the running target's own would then be rejected as late.
         """
-        if addressed == self._grant_manager.target and self._heartbeats.doubt():
+        if addressed == self._grant_manager.target and self._incarnations.doubt():
             self._log.decided("other_target_there", failure=True, target=addressed)
 
     def _map_outdated(self) -> None:
@@ -383,7 +381,7 @@
             self._listener.map_wanted()
 
     def take_report(self) -> KeyReport:
-        """Return what the planner of this service's keys is to know since the last report."""
+        """Return the report for the key planner, with the key counts since the last report."""
         info = self._info
         return KeyReport(
             service=self._settings.service,
@@ -397,11 +395,11 @@
         )
 
     def former_known(self, targets: list[str]) -> None:
-        """Take the incarnations that earlier lives of this daemon served, the newest last."""
-        self._heartbeats.former_known(targets)
+        """Set the incarnations that earlier runs of this daemon served, the newest last."""
+        self._incarnations.former_known(targets)
 
     def note_ended(self, target: str) -> None:
-        """An incarnation that an earlier life of this daemon served is known to be gone."""
+        """Record that an incarnation served by an earlier run of this daemon has terminated."""
         self._grant_manager.note_ended(target)
         if self._grant_manager.has_ended(target) and target not in self._reported_ended:
             self._reported_ended.append(target)
@@ -409,7 +407,7 @@
     # -- requests ------------------------------------------------------------------------
 
     def take(self, head: RequestHead, ended: bool, body: bytes, reply: ReplySink) -> TargetRequest:
-        """Take a request; begin() starts it."""
+        """Create a request for the target; its begin() starts it."""
         request = TargetRequest(self, head, ended, body, reply)
         self._open.add(request)
         if self._keyed and head.key:
@@ -417,7 +415,7 @@
         return request
 
     def barred(self, head: RequestHead) -> Reason | None:
-        """Return why the target may not run a request now, or None where it may."""
+        """Return the reason to reject a request now, or None if the target may run it."""
         info = self._info
         if info is None or (head.target and head.target != info.target):
             return Reason.MOVED
@@ -440,9 +438,10 @@
         return Reason.MOVED
 
     def _is_drained_for(self, head: RequestHead, now: float) -> bool:
-        """Return whether the drain of the failure domain keeps a request from the target.
+        """Return whether a request is rejected because the failure domain is drained.
 
-        Keys are served until they have been handed over, in the time that operators allow.
+        Keyed requests are served until their keys are handed over, at most for the
+        configured drain time.
         """
         since = self._drained_since
         if since is None:
@@ -452,23 +451,23 @@
         return now > since + self._settings.keyed_drain_s
 
     def park(self, request: TargetRequest, deadline_left_s: float) -> float:
-        """Let a request wait for its key; return for how many seconds, 0 where it may not."""
+        """Park a request until its key is granted; return the maximum wait in s, 0 if refused."""
         return self._parked.park(
             request, deadline_left_s, self._slots.load().service_s, boot_time()
         )
 
     def unpark(self, request: TargetRequest) -> None:
-        """A request no longer waits for its key."""
+        """Remove a request from those that wait for their key."""
         self._parked.unpark(request)
 
     def back_after_s(self, reason: Reason) -> float:
-        """Return the seconds after which a request that is refused here may come back."""
+        """Return the seconds after which the caller of a refused request should retry."""
         if reason is Reason.NOT_READY:
             return self._parked.gap.left_s(boot_time())
         return RESTART_S if self._refusing else MOVED_RETRY_S
 
     def quarantine_rejection(self, request: TargetRequest) -> QuarantineRejection | None:
-        """Return why the target may not run a request, as crashes are held against it."""
+        """Return why quarantine rejects a request, or None if the target may run it."""
         return self._guard.barred(request, self._slots.load().service_s, boot_time())
 
     def headers(self, head: RequestHead, left_ms: int) -> bytes:
@@ -477,18 +476,18 @@
         return self._dialect.target_headers(head.headers, target, head.caller_service, left_ms)
 
     def named(self, headers: bytes) -> bytes:
-        """Return what a request's header lines add to its path, to say what it asks for."""
+        """Return the header lines that, with the path, identify the content of a request."""
         return self._dialect.named(headers)
 
     def facts(self, headers: bytes) -> AnswerFacts:
-        """Read the headers of a target's answer."""
+        """Parse the headers of a response of the target."""
         facts = self._dialect.answer_facts(headers)
         if facts.load is not None and facts.load.slowness is not None:
             self._slowness = facts.load.slowness
         return facts
 
     def sent(self, head: RequestHead, left_ms: int) -> None:
-        """A request goes to the target."""
+        """Record that a request is sent to the target."""
         self._slots.cold.sent(boot_time())
         self._log.decided(
             "sent_to_target", id=_text(head.request_id), target=head.target, left_ms=left_ms,
@@ -503,7 +502,7 @@
         detail: str,
         took_s: float,
     ) -> None:
-        """A request was answered or given up."""
+        """Record the end of a request, whether answered or abandoned."""
         self._open.discard(request)
         head = request.head
         content = self._guard.ended(request, _text(head.request_id), outcome, reason, boot_time())
@@ -520,22 +519,22 @@
     # -- the target's end ----------------------------------------------------------
 
     def unreachable(self, error: ServerUnreachable) -> None:
-        """No connection to the target could be made."""
+        """Record a failed connection attempt to the target."""
         if error.refused and self._termination.refused():
-            # What listens there next has just started.
+            # The process that listens on this port next will have just started.
             self._slots.cold.doubt(boot_time())
 
     def _watch_target(self) -> None:
-        """Look whether a target has ended that leaves, refused a connection or broke one."""
+        """Check for silence, and probe a target that drains or had a connection fail."""
         self._reactor.callLater(END_CHECK_S, self._watch_target)
         now = boot_time()
         self._reported_ended.extend(self._grant_manager.ended_by(now))
         info = self._info
         if info is None:
             return
-        if not self._silent and now - self._heartbeats.last > HEARTBEAT_TIMEOUT_S:
+        if not self._silent and now - self._incarnations.last > HEARTBEAT_TIMEOUT_S:
             self._log.decided(
-                "target_silent", target=info.target, heard_s=round(now - self._heartbeats.last, 3)
+                "target_silent", target=info.target, heard_s=round(now - self._incarnations.last, 3)
             )
             self._silent = True
             self._publish_state()
@@ -544,13 +543,13 @@
         self._termination.check(suspected=overdue or self._guard.doubts_target)
 
     def _target_listening(self) -> None:
-        """Something listens at the target's port: a target that broke exchanges off lives on."""
+        """Record that the target's port accepts connections: the target is running."""
         self._guard.target_listening(boot_time())
 
     def _record_end(self, target: str, shown_by: str) -> None:
-        """Tell a crash from an end that the target had told of.
+        """Record the end of an incarnation as a crash or as an announced termination.
 
-        Who leaves serves until its drain time is over: it has crashed if it ends before.
+        A draining target serves until its drain time has expired; ending sooner is a crash.
         """
         now = boot_time()
         leaving = self._leaving_since
@@ -574,7 +573,7 @@
 
 
 def _stable_estimate(before: float, now: float) -> float:
-    """Return the Unix time in s to tell: clocks and rounding must not look like a change."""
+    """Return the Unix time in s to publish; clock drift and rounding do not change it."""
     return before if abs(now - before) < COLD_ESTIMATE_TOLERANCE_S else now
 
 
--- a/packages/daemon/src/pearward_daemon/mesh/target_slots.py
+++ b/packages/daemon/src/pearward_daemon/mesh/target_slots.py
@@ -1,4 +1,4 @@
-"""The slots of the target beside this daemon: which request runs, which waits, which is refused."""
+"""Slots of the local target: decides which requests run, wait or are refused."""
 
 from typing import Protocol
 
@@ -13,31 +13,31 @@
 
 DEFAULT_SLOTS = 8
 QUEUE_PER_SLOT = 8
-"""Requests that may wait, for each slot: far more than patience lets wait at usual speeds."""
+"""Maximum number of queued requests per slot; at usual speeds the maximum wait allows far fewer."""
 MIN_SERVICE_S = 0.005
-"""Running time in seconds below which a target's capacity is not taken for higher."""
+"""Minimum running time in s that is used to compute a target's capacity."""
 
 
 class SlotUser(Protocol):
-    """A request that asks for a slot, and is told when it has one."""
+    """A request that needs a slot and is notified when it has one."""
 
     @property
     def needs_link(self) -> bool:
-        """Whether a long answer will have to pass the instance's link."""
+        """Whether a long response will have to cross the instance's link."""
 
     @property
     def is_last_target(self) -> bool:
-        """Whether no other target will be asked for a slot."""
+        """Whether this is the last target from which a slot will be requested."""
 
     def start(self) -> None:
-        """A slot is free for it."""
+        """Run the request: it has got a slot."""
 
     def waited_too_long(self) -> None:
-        """It waited so long that it could not be answered any more."""
+        """Refuse the request: it could no longer be answered before its deadline."""
 
 
 class TargetSlots:
-    """The queue of one target, and the link that its long answers have to pass."""
+    """The request queue of one target, limited by its slots, its cold state and the link."""
 
     def __init__(self, policy: OverloadPolicy, link: LinkQueue) -> None:
         self._policy = policy
@@ -50,23 +50,24 @@
 
     @property
     def running(self) -> int:
-        """Requests that hold a slot."""
+        """Number of requests that hold a slot."""
         return self._queue.running
 
     @property
     def waiting(self) -> int:
-        """Requests that wait for one."""
+        """Number of requests that wait for a slot."""
         return self._queue.waiting
 
     @property
     def cold(self) -> ColdLimit:
-        """What the target may get while it is cold."""
+        """Limit on the request rate while the target is cold."""
         return self._cold
 
     def load(self) -> TargetLoad:
         """Return the load of the target and its instance's link as this daemon counts it.
 
-        A cold target tells so many slots as what it bears fills: requesters ask others first.
+        For a cold target the slots are reduced to the number that its permitted rate
+        fills, so that requesters prefer other targets.
         """
         queue = self._queue
         now = boot_time()
@@ -79,21 +80,21 @@
         )
 
     def capacity(self) -> float:
-        """Return the requests a second that the target can run."""
+        """Return the number of requests per second that the target can run."""
         now = boot_time()
         warm = self._queue.slots / max(self._queue.service_s(now), MIN_SERVICE_S)
         rate = self._cold.rate(now)
         return warm if rate is None else min(warm, rate)
 
     def set_slots(self, slots: int) -> None:
-        """Take from the target how many requests it works on at once."""
+        """Set the number of requests that the target processes concurrently."""
         slots = max(1, slots)
         self._queue.set_limits(SlotLimits(slots, slots * QUEUE_PER_SLOT, self._policy))
 
     # -- requests ------------------------------------------------------------------
 
     def offer(self, user: SlotUser, ticket: SlotTicket) -> bool | Refused:
-        """Ask for a slot: True is given now, False is given later."""
+        """Request a slot: return True if granted now, False if queued, Refused otherwise."""
         now = boot_time()
         if (room_in_s := self._cold.room_in_s(now)) > 0.0:
             return Refused(max(room_in_s, self._queue.retry_after(ticket, room_in_s, now)))
@@ -105,7 +106,7 @@
         return offered
 
     def _link_too_late_s(self, user: SlotUser, ticket: SlotTicket, now: float) -> float:
-        """Return by how many seconds the link would bring a long answer too late."""
+        """Return by how many seconds the link would deliver a long response too late."""
         long_request = LongRequest(
             runs_s=self._queue.expected_wait(ticket, now) + self._queue.service_s(now),
             objective=ticket.objective,
@@ -116,15 +117,15 @@
         return self._link.too_late_s(long_request, under_way, now)
 
     def patience_s(self, ticket: SlotTicket) -> float:
-        """Return the seconds that a request may wait for a slot."""
+        """Return the maximum time in s that a request may wait for a slot."""
         return self._queue.patience_s(ticket, boot_time())
 
     def retry_after_s(self, ticket: SlotTicket) -> float:
-        """Return the seconds after which a request that waited in vain should come back."""
+        """Return the seconds after which the caller of a request without a slot should retry."""
         return self._queue.retry_after(ticket, 0.0, boot_time())
 
     def finished(self, ticket: SlotTicket, *, measured: bool) -> None:
-        """A request gives its slot back, or its place in the queue."""
+        """Release the slot or queue position of a request, and start the next requests."""
         now = boot_time()
         self._users.pop(ticket, None)
         self._queue.finish(ticket, now, measured=measured)
