--- a/packages/daemon/src/pearward_daemon/mesh/crash_control.py
+++ b/packages/daemon/src/pearward_daemon/mesh/crash_control.py
@@ -1,8 +1,8 @@
-"""What this daemon knows, and tells others, of crashes of targets.
+"""Distribution of target crashes between the daemons of a service.
 
-A crash of the target beside this daemon is written to the store, which keeps it for all daemons
-and for those that start later, and told at once to those beside the service's other targets: one
-of them may get the request next, and the store may be away.
+A crash of the local target is written to the store, for all daemons and for those that start
+later. It is also sent at once to the daemons of the service's other targets: one of them may
+receive the request next, and the store may be unavailable.
 """
 
 from collections.abc import Callable, Iterable
@@ -20,7 +20,7 @@
 
 
 class CrashControl:
-    """The crashes of all targets, as they reach one daemon."""
+    """Collects the crashes of all targets that are reported to one daemon."""
 
     def __init__(
         self,
@@ -39,11 +39,11 @@
 
     @property
     def quarantine(self) -> Quarantine:
-        """The requests under which targets crashed."""
+        """Requests that are suspected of crashing targets."""
         return self._quarantine
 
     def crashed_here(self, record: CrashRecord) -> None:
-        """The target beside this daemon has crashed: let the others know."""
+        """Record a crash of the local target, store it and send it to the other daemons."""
         self._learn(record, "seen here")
         self._store_record(record)
         message = TargetCrashed(record.target, record.contents)
@@ -53,11 +53,11 @@
                 self._send(member.peer_address, message)
 
     def told(self, message: TargetCrashed) -> None:
-        """Another daemon tells of a crash that it has just noticed."""
+        """Record a crash that another daemon has just detected."""
         self._learn(CrashRecord(message.target, unix_time(), message.contents), "told")
 
     def recorded(self, records: Iterable[CrashRecord]) -> None:
-        """The store has entries of crashes."""
+        """Record crashes read from the store."""
         for record in records:
             self._learn(record, "recorded")
 
--- a/packages/daemon/src/pearward_daemon/mesh/crash_entries.py
+++ b/packages/daemon/src/pearward_daemon/mesh/crash_entries.py
@@ -1,4 +1,4 @@
-"""Entries of crashes in the platform's store, so that a quarantine outlasts all daemons."""
+"""Crash entries in the platform's store, by which a quarantine survives daemon restarts."""
 
 from collections.abc import Callable, Coroutine
 from typing import Any
@@ -15,17 +15,17 @@
 
 FIRST_RETRY_S = 0.2
 MAX_RETRY_S = 5.0
-"""Pauses after a failed call double up to this: nothing waits for the entry but daemons that
-start, and after a crash of many targets many daemons write one."""
+"""Maximum delay in s between retries, which double after each failed call. Only daemons that start
+need the entry, and after a crash of many targets many daemons write one."""
 MIN_LEASE_S = 1.0
-"""Seconds of a lease, at least: the store grants none below."""
+"""Minimum duration of a lease in s: the store grants no shorter one."""
 WRITE_TIMEOUT_S = 120.0
-"""Seconds after which an entry is not written any more: the store has been away for so long that
-every daemon beside the service's targets has heard of the crash from this one, or has gone."""
+"""Seconds after which writing an entry is abandoned. While the store was unavailable for that time,
+every daemon of the service was notified of the crash by this one or has terminated."""
 
 
 class CrashEntries:
-    """Writes what targets were running when they crashed; each entry goes by itself."""
+    """Writes the contents that targets were running when they crashed; entries expire by lease."""
 
     def __init__(
         self,
@@ -41,24 +41,24 @@
         self._lasts_s = lasts_s
         self._run = run
         self._written: dict[str, tuple[CrashRecord, float]] = {}
-        """Crashes of the targets beside this daemon, by target, and when each was noticed."""
+        """Crashes of local targets, by target, with the time at which each was detected."""
 
     def write(self, record: CrashRecord) -> None:
-        """Write a crash's entry as soon as the store takes it."""
+        """Write the entry of a crash, with retries while the store is unavailable."""
         now = boot_time()
         self._forget(now)
         self._written[record.target] = (record, now)
         self._run(self._write(record, now))
 
     def store_went_back(self) -> int:
-        """Write the entries that still count again; return how many there are."""
+        """Write the entries in force again after a restore; return their number."""
         self._forget(boot_time())
         for record, noticed_at in self._written.values():
             self._run(self._write(record, noticed_at))
         return len(self._written)
 
     def _forget(self, now: float) -> None:
-        """Drop the crashes that no longer count: a daemon may see many in its life."""
+        """Drop expired crashes: many may accumulate while a daemon runs."""
         self._written = {
             target: (record, at)
             for target, (record, at) in self._written.items()
@@ -71,7 +71,7 @@
         while boot_time() - began < WRITE_TIMEOUT_S:
             left_s = max(MIN_LEASE_S, noticed_at + self._lasts_s - boot_time())
             try:
-                # The entry and its lease are two calls; a lease without an entry just runs out.
+                # The entry and its lease take two calls; a lease without an entry just expires.
                 lease = await self._store.grant_lease(left_s)
                 await self._store.commit(
                     [], [Put(crash_key(record.target), encode_crash(record), lease)]
--- a/packages/daemon/src/pearward_daemon/mesh/crash_guard.py
+++ b/packages/daemon/src/pearward_daemon/mesh/crash_guard.py
@@ -1,7 +1,7 @@
-"""Which requests the target beside this daemon may run, by what crashed targets lately.
+"""Quarantine of requests at the local target, based on recent crashes of targets.
 
-Stands between a request that has a slot and the target: requests in quarantine go no further.
-It also finds out what the target was running when it crashed, and says so.
+It rejects quarantined requests that already have a slot, before they are sent to the target. It
+also determines which requests the target was running when it crashed, and reports them.
 """
 
 from collections.abc import Callable
@@ -19,27 +19,27 @@
 
 
 _ABORTED_REASONS = frozenset({Reason.SERVER_FAILED, Reason.CANCELLED, Reason.DEADLINE})
-"""Ends of requests that the target may have been working on until then."""
+"""Reasons with which a request ends while the target may still be processing it."""
 
 
 class GuardedRequest(Protocol):
-    """A request for the target beside this daemon."""
+    """A request for the local target."""
 
     @property
     def content(self) -> str:
-        """What it asks for, the same for every id under which it comes."""
+        """Digest of what it asks for, the same for every request id."""
 
 
 @dataclass(frozen=True, slots=True)
 class QuarantineRejection:
-    """Why a request may not run, and when its caller may come back."""
+    """The reason to reject a request, and the seconds after which its caller may retry."""
 
     detail: str
     back_after_s: float
 
 
 class CrashGuard:
-    """The crashes of one daemon's targets, and the requests that are kept from them."""
+    """Detects crashes of the local target, and rejects requests that are quarantined."""
 
     def __init__(
         self,
@@ -52,13 +52,13 @@
         self._on_crash = on_crash
         self._broken = BrokenExchanges()
         self._completed: set[str] = set()
-        """Contents that crashes were held against until the present target ran them to an end."""
+        """Contents that the current target completed after crashes had been attributed to them."""
         self._running_suspect: GuardedRequest | None = None
-        """The one suspected request that the target runs."""
+        """The suspected request that the target runs; at most one at a time."""
 
     @property
     def doubts_target(self) -> bool:
-        """Whether the target broke exchanges off and has not shown since that it lives."""
+        """Whether the target aborted exchanges and has not been seen alive since."""
         return self._broken.by_target
 
     # -- requests -----------------------------------------------------------------
@@ -66,10 +66,10 @@
     def barred(
         self, request: GuardedRequest, usual_s: float, now: float
     ) -> QuarantineRejection | None:
-        """Return why a request may not be sent to the target now; None where it may.
+        """Return why a request may not be sent to the target now, or None if it may.
 
-        A suspected one is taken for running from then on. *usual_s* is the time in s that the
-        target's requests take.
+        A suspected request that is accepted counts as running from then on. *usual_s* is the
+        usual processing time of the target's requests in s.
         """
         if not self._quarantine:
             return None
@@ -95,7 +95,7 @@
         reason: Reason | None,
         now: float,
     ) -> str:
-        """Take the end of a request; return its content where it was at the target till then."""
+        """Record the end of a request; return its content if the target was running it, else ""."""
         if self._running_suspect is request:
             self._running_suspect = None
         if outcome is Outcome.SERVED:
@@ -110,26 +110,26 @@
         return content
 
     def _note_completed(self, request: GuardedRequest) -> None:
-        """Clear a request that the target has run to an end."""
+        """Clear the suspicion of a request that the target has completed."""
         if self._quarantine and self._quarantine.ran(request.content):
             self._completed.add(request.content)
 
     # -- the target -----------------------------------------------------------------
 
     def target_listening(self, now: float) -> None:
-        """A connection to the target could be made: it lives."""
+        """Record that the target accepted a connection: it is running."""
         self._broken.answered(now)
 
     def target_began(self) -> None:
-        """Another incarnation of the target is beside this daemon."""
+        """Handle a new incarnation of the target."""
         self._completed.clear()
 
     def target_left(self, now: float) -> None:
-        """The target ended after it had said so: what broke off does not tell anything."""
+        """Handle an announced termination: aborted exchanges are no evidence of a crash."""
         self._broken.take(now)
 
     def target_crashed(self, target: str, shown_by: str, now: float, unix_now: float) -> None:
-        """The target ended without notice: hold it against what it was running."""
+        """Handle a crash: report the contents that the target was running."""
         broken = self._broken.take(now)
         self._log.decided(
             "target_crashed", failure=True, target=target, shown_by=shown_by,
--- a/packages/daemon/src/pearward_daemon/mesh/drain_control.py
+++ b/packages/daemon/src/pearward_daemon/mesh/drain_control.py
@@ -1,8 +1,8 @@
-"""Puts the operators' drains of failure domains in force at this daemon.
+"""Applies the operators' drains of failure domains at this daemon.
 
-Entries come from the store or, where it does not answer, from a daemon that follows it. The
-directory then offers no target there, the planner gives those targets no keys, and the target
-beside this daemon is barred if it is one of them.
+Entries are read from the store or, if it is unavailable, from a daemon that watches it. The
+directory then offers no targets in a drained domain, the planner assigns them no keys, and the
+local target is rejected if it is one of them.
 """
 
 from collections.abc import Callable, Iterable, Mapping
@@ -20,11 +20,11 @@
 __all__ = ["DrainControl"]
 
 OnChange = Callable[[Mapping[str, float]], None]
-"""Takes the drained failure domains, and since when each is, after each change."""
+"""Called after each change with the drained failure domains and the start of each drain."""
 
 
 class DrainControl:
-    """The drains of failure domains, read strictly and put in force."""
+    """Validates the drains of failure domains and applies them."""
 
     def __init__(
         self, known_domains: frozenset[str], dialect: Dialect, log: DecisionLog, on_change: OnChange
@@ -37,16 +37,16 @@
 
     @property
     def state(self) -> DomainDrains:
-        """What is in force, as others are told."""
+        """Drains in force, as sent to other daemons."""
         return self._view.state
 
     def entries_read(self, items: Iterable[KeyValue], revision: int) -> None:
-        """Take all entries as they were read at once."""
+        """Replace the state by all entries, read at one revision."""
         domains = [d for item in items if (d := self._domain(item.key, item.value)) is not None]
         self._apply(self._view.read(domains, revision, boot_time()), "read")
 
     def entry_changed(self, event: WatchEvent) -> None:
-        """Take one changed entry; one that cannot be read changes nothing."""
+        """Apply one changed entry; an invalid one is logged and ignored."""
         domain = self._domain(event.key, event.value)
         if domain is None:
             return
@@ -55,15 +55,15 @@
         self._apply(changed, "watched")
 
     def complete_to(self, revision: int) -> None:
-        """All changes up to a revision have been taken."""
+        """Record that all changes up to *revision* have been applied."""
         self._view.complete_to(revision)
 
     def told(self, state: DomainDrains) -> None:
-        """Take what another daemon knows, if that is newer."""
+        """Apply the state of another daemon if it is newer."""
         self._apply(self._view.told(state, boot_time()), "told by another daemon")
 
     def _domain(self, key: str, value: bytes | None) -> str | None:
-        """Return the failure domain of an entry, or None where it names none to drain."""
+        """Return the failure domain of an entry; log an invalid entry and return None."""
         domain = key.removeprefix(DRAINS)
         unknown = self._known_domains and domain not in self._known_domains
         try:
--- a/packages/daemon/src/pearward_daemon/mesh/key_planner.py
+++ b/packages/daemon/src/pearward_daemon/mesh/key_planner.py
@@ -409,7 +409,7 @@
         self._log.decided(
             "keys_moved", service=key_map.service, version=planned.version,
             why="owners lost or leaving" if unowned else "uneven load", silent=sorted(silent),
-            unreported=len(unreported), asked_and_can={
+            unheard=len(unreported), asked_and_can={
                 o.target: [round(asked.get(o.target, 0.0)), round(o.capacity)]
                 for o in owners
             },
--- a/packages/daemon/src/pearward_daemon/mesh/own_entry.py
+++ b/packages/daemon/src/pearward_daemon/mesh/own_entry.py
@@ -1,7 +1,7 @@
-"""This daemon's own entry in the platform's store: written, watched, and written again.
+"""This daemon's own member entry in the platform's store.
 
-The entry lives as long as the daemon's lease. It is written when the daemon or its target
-changes, and again where it went or where another writer changed it.
+The entry exists as long as the daemon's lease. It is written when the daemon or its target
+changes, and again if it was removed or changed by another writer.
 """
 
 from collections.abc import Callable, Coroutine
@@ -19,7 +19,7 @@
 
 
 class OwnEntry:
-    """The member's entry of one daemon, and the holder's entries of its targets."""
+    """Writes the member entry of one daemon and the holder entries of its targets."""
 
     def __init__(
         self,
@@ -41,7 +41,7 @@
         self._written_at = 0
         """Revision of the store at the last write."""
         self._holder_written = ""
-        """Target whose holder's entry was written."""
+        """Target whose holder entry was written last."""
         self._writing = False
         self._stopped = False
 
@@ -49,18 +49,18 @@
 
     @property
     def key(self) -> str:
-        """Key of the entry."""
+        """Key of the member entry."""
         return self._key
 
     @property
     def is_written(self) -> bool:
-        """Whether the entry was written, and is not known to have gone since."""
+        """Whether the entry was written and is not known to have been removed since."""
         return self._written is not None
 
     # -- writing -----------------------------------------------------------------
 
     def publish(self, member: Member | None, keyed: bool) -> None:
-        """Write *member*; None keeps what is there. A target with keys gets a holder's entry."""
+        """Write *member*; None keeps the current entry. Write a holder entry if *keyed*."""
         self._member = member
         self._keyed = keyed
         self._write_soon()
@@ -76,22 +76,22 @@
         await self.write()
 
     def lease_gone(self) -> None:
-        """The lease is over, and the entry with it."""
+        """Record that the lease expired, and the entry with it."""
         self._lease = 0
         self._written = None
 
     def store_went_back(self) -> None:
-        """The store may have lost all entries, the holder's too: they go under the next lease."""
+        """Write all entries again under the next lease: the restored store may have lost them."""
         self.lease_gone()
         self._holder_written = ""
         self._written_at = 0
 
     def stop(self) -> None:
-        """What goes or is changed from now on is not written again."""
+        """Stop restoring entries that are removed or changed from now on."""
         self._stopped = True
 
     async def write(self) -> None:
-        """Write until the entries are as they should be, if they are not."""
+        """Write until the entries in the store are up to date."""
         if self._writing:
             return
         self._writing = True
@@ -99,7 +99,7 @@
             while self._member is not None and self._member != self._written and self._lease:
                 await self._write_once(self._member, self._lease)
         except LeaseGone:
-            # The renewal finds out as well, and begins a new lease.
+            # The renewal detects this as well, and starts a new lease.
             self._log.decided("entry_refused", failure=True, lease=self._lease)
         except PlatformError as error:
             self._on_failed(error)
@@ -113,7 +113,7 @@
             puts.append(Put(holder_key(member.target), encode_holder(entry)))
         self._written_at = await self._store.commit([], puts)
         if lease != self._lease:
-            # The lease went under the write, and the entry with it.
+            # The lease expired during the write, and the entry with it.
             return
         self._written = member
         if len(puts) > 1:
@@ -122,10 +122,10 @@
             "entry_written", target=member.target, state=member.state.value, lease=lease
         )
 
-    # -- what the store shows ------------------------------------------------------
+    # -- changes in the store ------------------------------------------------------
 
     def gone(self) -> None:
-        """The store has no entry though the lease may live: write it again."""
+        """Write the entry again: it is missing although the lease may be valid."""
         if self._written is None or self._stopped:
             return
         self._log.decided("entry_gone", failure=True, lease=self._lease)
@@ -133,9 +133,9 @@
         self._write_soon()
 
     def seen(self, item: KeyValue) -> bool:
-        """Write the entry again where another writer changed it; return whether one did.
+        """Write the entry again if another writer changed it; return whether one did.
 
-        What came before the last own write says nothing.
+        Changes before this daemon's last write are ignored.
         """
         written = self._written
         if written is None or self._writing or item.revision <= self._written_at:
--- a/packages/daemon/src/pearward_daemon/mesh/parked_requests.py
+++ b/packages/daemon/src/pearward_daemon/mesh/parked_requests.py
@@ -1,4 +1,4 @@
-"""Requests at the daemon beside an owner that wait for their keys to arrive."""
+"""Requests for a local target that wait until their keys are granted to it."""
 
 from typing import Protocol
 
@@ -7,22 +7,22 @@
 __all__ = ["ParkedRequest", "ParkedRequests"]
 
 PARKED_LIMIT = 512
-"""Requests that wait for the target's keys, at most; further ones are refused."""
+"""Maximum number of parked requests; further ones are refused."""
 
 
 class ParkedRequest(Protocol):
-    """A request that is told when keys have come."""
+    """A request that is notified when keys have been granted."""
 
     @property
     def position(self) -> int:
-        """The key that it waits for."""
+        """Position of the key that it waits for."""
 
     def admit(self) -> None:
-        """Look again whether the target may run it."""
+        """Check again whether the target may run it."""
 
 
 class ParkedRequests:
-    """All requests that wait, and how long keys usually rest."""
+    """Holds all parked requests, and the usual duration of key handovers."""
 
     def __init__(self) -> None:
         self._waiting: dict[ParkedRequest, None] = {}
@@ -33,13 +33,13 @@
 
     @property
     def gap(self) -> KeyGap:
-        """The hand-overs of keys to the target."""
+        """Durations of the handovers of keys to the target."""
         return self._gap
 
     def park(
         self, request: ParkedRequest, deadline_left_s: float, runs_s: float, now: float
     ) -> float:
-        """Let a request wait for its key; return for how many seconds, 0 where it may not."""
+        """Park a request until its key is granted; return the maximum wait in s, 0 if refused."""
         if len(self._waiting) >= PARKED_LIMIT:
             return 0.0
         patience_s = self._gap.patience_s(deadline_left_s, runs_s, now)
@@ -48,21 +48,21 @@
         return patience_s
 
     def unpark(self, request: ParkedRequest) -> None:
-        """A request no longer waits for its key."""
+        """Remove a request that no longer waits for its key."""
         self._waiting.pop(request, None)
 
     def admit(self, first: int, last: int) -> None:
-        """The keys from *first* to *last* have come: let those that wait for them look again.
+        """Re-evaluate the requests that wait for the keys from *first* to *last*.
 
-        Keys come by many calls after a restart: the daemon would stand still for a second if all
-        looked each time.
+        After a restart keys are granted by many calls; re-evaluating all requests for each of
+        them would block the daemon for a second.
         """
         for request in [r for r in self._waiting if first <= r.position <= last]:
             self._waiting.pop(request, None)
             request.admit()
 
     def admit_all(self) -> None:
-        """Any keys may have come: let all look again; those whose keys have not come wait on."""
+        """Re-evaluate all requests, as any keys may have been granted; the others park again."""
         waiting, self._waiting = list(self._waiting), {}
         for request in waiting:
             request.admit()
