--- a/packages/daemon/src/pearward_daemon/mesh/key_planner.py
+++ b/packages/daemon/src/pearward_daemon/mesh/key_planner.py
@@ -386,8 +386,8 @@
         owners = self._owners(key_map.service, service, now)
         owners = [owner for owner in owners if owner.target not in silent]
         present = {owner.target for owner in owners}
-        unreported = self._unreported(key_map, service, present, now) - silent
-        unowned = any(r.owner not in present | unreported for r in key_map.ranges)
+        unheard = self._unreported(key_map, service, present, now) - silent
+        unowned = any(r.owner not in present | unheard for r in key_map.ranges)
         # While a map is unsettled, keys that move for load would be unavailable for seconds.
         if not unowned and (key_map.unsettled or not service.load.is_due(now)):
             return None
@@ -400,7 +400,7 @@
         if not unowned and not service.load.may_move(now):
             return None
         planned = plan_moves(
-            key_map, owners, load, frozenset(service.ended), self._limits, fixed=unreported
+            key_map, owners, load, frozenset(service.ended), self._limits, fixed=unheard
         )
         if planned is None:
             return None
@@ -409,7 +409,7 @@
         self._log.decided(
             "keys_moved", service=key_map.service, version=planned.version,
             why="owners lost or leaving" if unowned else "uneven load", silent=sorted(silent),
-            unheard=len(unreported), asked_and_can={
+            unheard=len(unheard), asked_and_can={
                 o.target: [round(asked.get(o.target, 0.0)), round(o.capacity)]
                 for o in owners
             },
@@ -420,7 +420,7 @@
         self, key_map: KeyMap, service: _Service, present: set[str], now: float
     ) -> frozenset[str]:
         """Return owners that may still report: without a current report and not known to leave."""
-        unreported: set[str] = set()
+        unheard: set[str] = set()
         for target in key_map.targets - present - service.ended:
             member = self._directory.member_of(target)
             report, age = self._report(service, target, now)
@@ -432,8 +432,8 @@
             if service.stopping.get(target):
                 continue
             if not (fresh and report is not None and report.draining):
-                unreported.add(target)
-        return frozenset(unreported)
+                unheard.add(target)
+        return frozenset(unheard)
 
     # -- lost targets ------------------------------------------------------------------
 
