--- a/packages/daemon/src/pearward_daemon/mesh/beat_answers.py
+++ b/packages/daemon/src/pearward_daemon/mesh/beat_answers.py
@@ -27,7 +27,7 @@
     """A heartbeat whose response is delayed."""
 
     received: float
-    answer: "Deferred[BeatAnswer]"
+    response: "Deferred[BeatAnswer]"
     timer: Any
 
 
@@ -58,23 +58,23 @@
     def respond(self, received: float, *, at_once: bool) -> "Deferred[BeatAnswer]":
         """Return the response to a heartbeat; it is delayed unless *at_once* or not keyed."""
         self.deliver()
-        answer: Deferred[BeatAnswer] = Deferred()
+        response: Deferred[BeatAnswer] = Deferred()
         timer = self._reactor.callLater(MAX_RESPONSE_DELAY_S, self.deliver)
-        self._pending = _PendingResponse(received, answer, timer)
+        self._pending = _PendingResponse(received, response, timer)
         if at_once or not self._keyed:
             self.deliver()
-        return answer
+        return response
 
     def deliver(self) -> None:
         """Answer the pending heartbeat with the keys that its target may hold now."""
-        waiting, self._pending = self._pending, None
-        if waiting is None:
+        pending, self._pending = self._pending, None
+        if pending is None:
             return
-        if waiting.timer.active():
-            waiting.timer.cancel()
-        waiting.answer.callback(self._answer(waiting.received))
+        if pending.timer.active():
+            pending.timer.cancel()
+        pending.response.callback(self._response(pending.received))
 
-    def _answer(self, received: float) -> BeatAnswer:
+    def _response(self, received: float) -> BeatAnswer:
         if not self._keyed:
             return BeatAnswer()
         now = boot_time()
--- a/packages/daemon/src/pearward_daemon/mesh/call_delivery.py
+++ b/packages/daemon/src/pearward_daemon/mesh/call_delivery.py
@@ -136,8 +136,8 @@
             "release_sent", target=self._grant_manager.target, first=call.row.first,
             last=call.row.last, fence=call.row.fence,
         )  # fmt: skip
-        answer = self._port.release(self._grant_manager.target, call.row)
-        answer.addCallback(self._release_replied, call, sent)
+        deferred = self._port.release(self._grant_manager.target, call.row)
+        deferred.addCallback(self._release_replied, call, sent)
 
     def _release_replied(self, reply: ReleaseReply, call: ReleaseCall, sent: float) -> None:
         took_s = round(boot_time() - sent, 3)
--- a/packages/daemon/src/pearward_daemon/mesh/crash_control.py
+++ b/packages/daemon/src/pearward_daemon/mesh/crash_control.py
@@ -44,7 +44,7 @@
 
     def crashed_here(self, record: CrashRecord) -> None:
         """Record a crash of the local target, store it and send it to the other daemons."""
-        self._learn(record, "seen here")
+        self._note_crash(record, "seen here")
         self._store_record(record)
         message = TargetCrashed(record.target, record.contents)
         for member in self._directory.members:
@@ -54,14 +54,14 @@
 
     def told(self, message: TargetCrashed) -> None:
         """Record a crash that another daemon has just detected."""
-        self._learn(CrashRecord(message.target, unix_time(), message.contents), "told")
+        self._note_crash(CrashRecord(message.target, unix_time(), message.contents), "told")
 
     def recorded(self, records: Iterable[CrashRecord]) -> None:
         """Record crashes read from the store."""
         for record in records:
-            self._learn(record, "recorded")
+            self._note_crash(record, "recorded")
 
-    def _learn(self, record: CrashRecord, how: str) -> None:
+    def _note_crash(self, record: CrashRecord, how: str) -> None:
         for content in self._quarantine.learn(record, boot_time(), unix_time()):
             self._log.decided(
                 "request_quarantined", failure=True, content=content, target=record.target,
--- a/packages/daemon/src/pearward_daemon/mesh/crash_entries.py
+++ b/packages/daemon/src/pearward_daemon/mesh/crash_entries.py
@@ -53,8 +53,8 @@
     def store_went_back(self) -> int:
         """Write the entries in force again after a restore; return their number."""
         self._forget(boot_time())
-        for record, noticed_at in self._written.values():
-            self._run(self._write(record, noticed_at))
+        for record, detected_at in self._written.values():
+            self._run(self._write(record, detected_at))
         return len(self._written)
 
     def _forget(self, now: float) -> None:
@@ -65,11 +65,11 @@
             if now - at < self._lasts_s
         }
 
-    async def _write(self, record: CrashRecord, noticed_at: float) -> None:
-        began = boot_time()
+    async def _write(self, record: CrashRecord, detected_at: float) -> None:
+        started_at = boot_time()
         retry_s = FIRST_RETRY_S
-        while boot_time() - began < WRITE_TIMEOUT_S:
-            left_s = max(MIN_LEASE_S, noticed_at + self._lasts_s - boot_time())
+        while boot_time() - started_at < WRITE_TIMEOUT_S:
+            left_s = max(MIN_LEASE_S, detected_at + self._lasts_s - boot_time())
             try:
                 # The entry and its lease take two calls; a lease without an entry just expires.
                 lease = await self._store.grant_lease(left_s)
--- a/packages/daemon/src/pearward_daemon/mesh/drain_control.py
+++ b/packages/daemon/src/pearward_daemon/mesh/drain_control.py
@@ -60,7 +60,7 @@
 
     def told(self, state: DomainDrains) -> None:
         """Apply the state of another daemon if it is newer."""
-        self._apply(self._view.told(state, boot_time()), "told by another daemon")
+        self._apply(self._view.told(state, boot_time()), "sent by another daemon")
 
     def _domain(self, key: str, value: bytes | None) -> str | None:
         """Return the failure domain of an entry; log an invalid entry and return None."""
--- a/packages/daemon/src/pearward_daemon/mesh/key_map_entry.py
+++ b/packages/daemon/src/pearward_daemon/mesh/key_map_entry.py
@@ -41,14 +41,14 @@
         store: FleetStore,
         key_maps: KeyMaps,
         log: DecisionLog,
-        spread: Callable[[KeyMap], None],
+        distribute: Callable[[KeyMap], None],
     ) -> None:
         self._service = service
         self._key = key_map_key(service)
         self._store = store
         self._maps = key_maps
         self._log = log
-        self._spread = spread
+        self._distribute = distribute
         self._revision = 0
         """Revision of the entry in the store; 0 while unknown."""
 
@@ -92,7 +92,7 @@
         if not current:
             return await self._renumbered(newest, era, "the store went back")
         self._maps.adopt(newest)
-        self._spread(newest)
+        self._distribute(newest)
         return newest
 
     def _decoded(self, item: KeyValue) -> KeyMap:
@@ -158,7 +158,7 @@
             revision=self._revision, era=era, unsettled=planned.unsettled,
         )  # fmt: skip
         self._maps.adopt(planned)
-        self._spread(planned)
+        self._distribute(planned)
 
     def _starts_era(self, planned: KeyMap) -> bool:
         """Return whether a map is the first one known to this daemon in its era."""
--- a/packages/daemon/src/pearward_daemon/mesh/key_maps.py
+++ b/packages/daemon/src/pearward_daemon/mesh/key_maps.py
@@ -28,7 +28,7 @@
         self._maps: dict[str, KeyMap] = {}
         self._former: dict[str, KeyMap] = {}
         """The predecessor of each newest map."""
-        self._whole: dict[str, Push] = {}
+        self._full_messages: dict[str, Push] = {}
         """Messages with complete newest maps, encoded once and sent to many daemons."""
         self._changes: dict[str, PushChange] = {}
         self._listeners: list[Callable[[KeyMap], None]] = []
@@ -75,7 +75,7 @@
         held = known.version if known is not None else 0
         if message.version <= held:
             return False
-        why = "its base is not held"
+        why = "base version is not held"
         if known is not None and message.base == held:
             try:
                 self.adopt(known.after(decode_key_map_change(unpacked(message.value))))
@@ -103,11 +103,11 @@
         former = self._former.get(service)
         if former is not None and held == former.version:
             return self._change(former, key_map)
-        sent = self._whole.get(service)
+        sent = self._full_messages.get(service)
         if sent is None or sent.version != key_map.version:
             # Compressed: a 6 Mbit/s link needs seconds to send the plain map to all members.
             value = packed(encode_key_map(key_map))
-            sent = self._whole[service] = Push(KEY_MAPS + service, key_map.version, value)
+            sent = self._full_messages[service] = Push(KEY_MAPS + service, key_map.version, value)
         return sent
 
     def _change(self, former: KeyMap, key_map: KeyMap) -> PushChange:
--- a/packages/daemon/src/pearward_daemon/mesh/key_planner.py
+++ b/packages/daemon/src/pearward_daemon/mesh/key_planner.py
@@ -73,7 +73,7 @@
 QUERY_INTERVAL_S = 0.4
 """Seconds between two queries to the same instance, since a message may be lost."""
 GRACE_S = 1.5
-"""Seconds after becoming the active planner in which missing reports are not evaluated."""
+"""Seconds from becoming active until owners may be considered silent: reports must arrive first."""
 
 
 def _planner_order(member: Member) -> tuple[bool, float, str]:
@@ -115,16 +115,16 @@
         directory: Directory,
         key_maps: KeyMaps,
         log: DecisionLog,
-        spread: Callable[[KeyMap], None],
-        ask: Callable[[str, AskRelease], None],
+        distribute: Callable[[KeyMap], None],
+        query: Callable[[str, AskRelease], None],
     ) -> None:
         self._settings = settings
         self._store = store
         self._directory = directory
         self._maps = key_maps
         self._log = log
-        self._spread = spread
-        self._ask = ask
+        self._distribute = distribute
+        self._query = query
         self._services: dict[str, _Service] = {}
         self._active_since: float | None = None
         self._registered = False
@@ -180,7 +180,7 @@
     def _service(self, name: str) -> _Service:
         service = self._services.get(name)
         if service is None:
-            entry = KeyMapEntry(name, self._store, self._maps, self._log, self._spread)
+            entry = KeyMapEntry(name, self._store, self._maps, self._log, self._distribute)
             service = self._services[name] = _Service(name, entry)
         return service
 
@@ -278,9 +278,9 @@
             return settled(key_map, self._owners(key_map.service, service, now))
         if now - service.former_asked_at >= QUERY_INTERVAL_S:
             service.former_asked_at = now
-            ask = AskRelease(key_map.service, "", key_map.version)
+            query = AskRelease(key_map.service, "", key_map.version)
             for instance in service.former.waits_for(key_map, instances):
-                self._ask(instance, ask)
+                self._query(instance, query)
         return None
 
     def _instances(self, key_map: KeyMap, now: float) -> frozenset[str]:
@@ -312,12 +312,12 @@
             service.unreadable_since = now
         owners = self._owners(service.name, service, now)
         quiet_s = self._settings.holds.lease.lease_s + self._settings.holds.hold_s + GRACE_S
-        heard = all(
+        none_knows_a_map = all(
             (report := self._report(service, owner.target, now)[0]) is not None
             and not report.version
             for owner in owners
         )
-        if not owners or not heard or now - service.unreadable_since < quiet_s:
+        if not owners or not none_knows_a_map or now - service.unreadable_since < quiet_s:
             return None
         service.unreadable_since = None
         first = first_map(service.name, owners)
--- a/packages/daemon/src/pearward_daemon/mesh/own_entry.py
+++ b/packages/daemon/src/pearward_daemon/mesh/own_entry.py
@@ -143,7 +143,10 @@
         if item.value == encode_member(written):
             return False
         self._log.decided(
-            "entry_unreadable", failure=True, key=item.key, error="not what this daemon wrote"
+            "entry_unreadable",
+            failure=True,
+            key=item.key,
+            error="value differs from what this daemon wrote",
         )
         self.gone()
         return True
--- a/packages/daemon/src/pearward_daemon/mesh/target_side.py
+++ b/packages/daemon/src/pearward_daemon/mesh/target_side.py
@@ -294,7 +294,10 @@
             self._publish(TargetInfo(info.target, info.slots, self._state(), info.cold_until))
 
     def stop(self) -> None:
-        """Stop this daemon: publish the target as draining, unless it owns keys."""
+        """Stop this daemon; publish the target as draining unless its service is keyed.
+
+        Other targets cannot serve its keys in the meantime.
+        """
         self._stopping = True
         self._publish_state()
         self.reconsider()
--- a/packages/daemon/src/pearward_daemon/mesh/target_slots.py
+++ b/packages/daemon/src/pearward_daemon/mesh/target_slots.py
@@ -113,8 +113,8 @@
             deadline=ticket.deadline,
             last_target=user.is_last_target,
         )
-        under_way = sum(1 for other in self._users.values() if other.needs_link)
-        return self._link.too_late_s(long_request, under_way, now)
+        in_progress = sum(1 for other in self._users.values() if other.needs_link)
+        return self._link.too_late_s(long_request, in_progress, now)
 
     def patience_s(self, ticket: SlotTicket) -> float:
         """Return the maximum time in s that a request may wait for a slot."""
