--- a/packages/daemon/src/pearward_daemon/mesh/call_delivery.py
+++ b/packages/daemon/src/pearward_daemon/mesh/call_delivery.py
@@ -136,8 +136,8 @@
             "release_sent", target=self._grant_manager.target, first=call.row.first,
             last=call.row.last, fence=call.row.fence,
         )  # fmt: skip
-        deferred = self._port.release(self._grant_manager.target, call.row)
-        deferred.addCallback(self._release_replied, call, sent)
+        response = self._port.release(self._grant_manager.target, call.row)
+        response.addCallback(self._release_replied, call, sent)
 
     def _release_replied(self, reply: ReleaseReply, call: ReleaseCall, sent: float) -> None:
         took_s = round(boot_time() - sent, 3)
--- a/packages/daemon/src/pearward_daemon/mesh/key_planner.py
+++ b/packages/daemon/src/pearward_daemon/mesh/key_planner.py
@@ -116,7 +116,7 @@
         key_maps: KeyMaps,
         log: DecisionLog,
         distribute: Callable[[KeyMap], None],
-        query: Callable[[str, AskRelease], None],
+        request: Callable[[str, AskRelease], None],
     ) -> None:
         self._settings = settings
         self._store = store
@@ -124,7 +124,7 @@
         self._maps = key_maps
         self._log = log
         self._distribute = distribute
-        self._query = query
+        self._query = request
         self._services: dict[str, _Service] = {}
         self._active_since: float | None = None
         self._registered = False
@@ -278,9 +278,9 @@
             return settled(key_map, self._owners(key_map.service, service, now))
         if now - service.former_asked_at >= QUERY_INTERVAL_S:
             service.former_asked_at = now
-            query = AskRelease(key_map.service, "", key_map.version)
+            request = AskRelease(key_map.service, "", key_map.version)
             for instance in service.former.waits_for(key_map, instances):
-                self._query(instance, query)
+                self._query(instance, request)
         return None
 
     def _instances(self, key_map: KeyMap, now: float) -> frozenset[str]:
