--- a/packages/daemon/src/pearward_daemon/mesh/paced_stream.py
+++ b/packages/daemon/src/pearward_daemon/mesh/paced_stream.py
@@ -1,9 +1,9 @@
-"""Long answers to other daemons, handed over in turns as fast as the own link takes them.
+"""Pacing of long responses to other daemons at the rate of the instance's link.
 
-A stream stands between a peer's connection and a request at the target: towards the request
-it is where the answer goes, towards the connection it is the owner's end of a stream. Short
-answers pass at once; a long one is kept here, head included, until its turn comes, so that
-the target's slot is free as soon as the target has sent it.
+A PacedStream connects a peer's connection and a request at the target: it is the reply sink of
+the request and the handler of the connection's stream. Short responses are sent at once. A long
+response is buffered, head included, until the link queue selects it, so that the target's slot
+is free as soon as the target has sent the response.
 """
 
 from collections.abc import Callable
@@ -19,14 +19,14 @@
 
 __all__ = ["LinkPacer", "PacedStream"]
 
-KEPT_BYTES = 1024 * 1024
-"""Bytes of one answer that are kept here; the target is read no further beyond that. The
-largest answers seen on the users' sites have half of it."""
-SHORTEST_WAIT_S = 0.001
+MAX_BUFFERED_BYTES = 1024 * 1024
+"""Buffered bytes of one response from which reading from the target pauses. The largest
+responses seen on the users' sites have half of this size."""
+MIN_WAIT_S = 0.001
 
 
 class LinkPacer:
-    """Gives the streams of one daemon their turns on the instance's link."""
+    """Schedules the chunks of a daemon's streams on the instance's link."""
 
     def __init__(self, reactor: Any, queue: LinkQueue) -> None:
         self._reactor = reactor
@@ -36,43 +36,43 @@
 
     @property
     def waiting(self) -> int:
-        """Long answers that are not handed over whole."""
+        """Number of long responses that were not yet passed to their connections whole."""
         return len(self._streams)
 
     @property
     def chunk(self) -> int:
-        """Bytes that are handed over in one turn."""
+        """Maximum bytes of one chunk."""
         return self._queue.chunk
 
     def join(
         self, stream: "PacedStream", objective: float, size: int, deadline: float
     ) -> LinkTicket:
-        """Let a stream's answer of *size* bytes wait for its turns."""
+        """Queue a stream's response of *size* bytes for the link."""
         ticket = self._queue.join(objective, size, boot_time(), deadline=deadline)
         self._streams[ticket] = stream
         return ticket
 
     def leave(self, ticket: LinkTicket) -> None:
-        """A stream needs no more turns."""
+        """Remove a stream from the queue."""
         self._queue.leave(ticket)
         self._streams.pop(ticket, None)
 
-    def give_turns(self) -> None:
-        """Let answers go out until the link has enough for the moment."""
+    def send_chunks(self) -> None:
+        """Send chunks until the link is saturated, and schedule the next check."""
         while (ticket := self._queue.next(boot_time())) is not None:
-            self._streams[ticket].take_turn()
+            self._streams[ticket].send_chunk()
         if self._streams and self._timer is None:
-            wait_s = max(SHORTEST_WAIT_S, self._queue.free_in_s(boot_time()))
+            wait_s = max(MIN_WAIT_S, self._queue.free_in_s(boot_time()))
             if any(ticket.sendable for ticket in self._streams):
-                self._timer = self._reactor.callLater(wait_s, self._link_is_free)
+                self._timer = self._reactor.callLater(wait_s, self._link_available)
 
-    def _link_is_free(self) -> None:
+    def _link_available(self) -> None:
         self._timer = None
-        self.give_turns()
+        self.send_chunks()
 
 
 class PacedStream(PeerReply):
-    """One request of a peer and its answer."""
+    """One request of a peer and its response."""
 
     def __init__(
         self,
@@ -80,7 +80,7 @@
         stream: int,
         pacer: LinkPacer,
         objective: float,
-        take: "Callable[[PacedStream], InboundHandler]",
+        accept_request: "Callable[[PacedStream], InboundHandler]",
         *,
         deadline: float,
     ) -> None:
@@ -90,17 +90,17 @@
         self._deadline = deadline
         self._ticket: LinkTicket | None = None
         self._head: ResponseHead | None = None
-        """Head of a long answer that has not had its first turn."""
-        self._kept = bytearray()
-        self._target_waits = False
-        self._reset_after: ResetCode | None = None
-        """Reset that follows the answer: the target did not want the rest of the request."""
-        self._request = take(self)
+        """Head of a long response before its first chunk was sent."""
+        self._buffer = bytearray()
+        self._target_paused = False
+        self._deferred_reset: ResetCode | None = None
+        """Reset that is sent after the response, as the target did not read the whole request."""
+        self._request = accept_request(self)
 
-    # -- the answer, from the request -------------------------------------------
+    # -- the response, from the request -----------------------------------------
 
     def respond(self, head: ResponseHead, *, ended: bool, body: bytes = b"") -> None:
-        """Send the whole of a short answer, or keep the head of a long one."""
+        """Send a short response whole, or buffer the head of a long one."""
         if ended:
             super().respond(head, ended=True, body=body)
             return
@@ -110,48 +110,48 @@
         )
 
     def send_data(self, data: bytes, *, ended: bool = False) -> bool:
-        """Keep a chunk until its turn; return whether more may follow at once."""
+        """Buffer a chunk for the link; return whether more may follow at once."""
         ticket = self._ticket
         if ticket is None:
             return True
-        self._kept += data
-        ticket.unsent = len(self._kept)
+        self._buffer += data
+        ticket.unsent = len(self._buffer)
         ticket.remaining = max(ticket.remaining, ticket.unsent)
         if ended:
             ticket.remaining = ticket.unsent
             ticket.ended = True
-        self._pacer.give_turns()
-        self._target_waits = len(self._kept) >= KEPT_BYTES
-        return not self._target_waits
+        self._pacer.send_chunks()
+        self._target_paused = len(self._buffer) >= MAX_BUFFERED_BYTES
+        return not self._target_paused
 
     def reset(self, code: ResetCode) -> None:
-        """Break the answer off; one that is whole here is still sent."""
+        """Reset the stream; a response that is completely buffered is still sent before."""
         if self._ticket is not None and self._ticket.ended:
-            self._reset_after = code
+            self._deferred_reset = code
             return
         self._leave()
         super().reset(code)
 
-    def take_turn(self) -> None:
-        """Hand the next chunk over to the connection."""
+    def send_chunk(self) -> None:
+        """Pass the next chunk to the connection."""
         ticket = self._ticket
         assert ticket is not None
         if self._head is not None:
             head, self._head = self._head, None
             super().respond(head, ended=False)
-        chunk = bytes(self._kept[: self._pacer.chunk])
-        del self._kept[: len(chunk)]
-        ticket.unsent = len(self._kept)
+        chunk = bytes(self._buffer[: self._pacer.chunk])
+        del self._buffer[: len(chunk)]
+        ticket.unsent = len(self._buffer)
         ticket.remaining -= len(chunk)
         ticket.begun = True
-        last = ticket.ended and not self._kept
+        last = ticket.ended and not self._buffer
         ticket.blocked = not super().send_data(chunk, ended=last)
         if last:
             self._leave()
-            if self._reset_after is not None:
-                super().reset(self._reset_after)
-        elif self._target_waits and len(self._kept) < KEPT_BYTES:
-            self._target_waits = False
+            if self._deferred_reset is not None:
+                super().reset(self._deferred_reset)
+        elif self._target_paused and len(self._buffer) < MAX_BUFFERED_BYTES:
+            self._target_paused = False
             self._request.writable()
 
     def _leave(self) -> None:
@@ -162,28 +162,28 @@
     # -- the request, from the connection ------------------------------------------
 
     def begin(self) -> None:
-        """Start: the stream can be answered from now on."""
+        """Start the request, which may respond from now on."""
         self._request.begin()
 
     def response_received(self, head: ResponseHead, ended: bool, body: bytes) -> None:
-        """Never happens at this end of a stream."""
+        """Do nothing, as this end of a stream receives no response."""
 
     def data_received(self, data: bytes, ended: bool) -> None:
-        """Pass a chunk of the request's body on."""
+        """Forward a chunk of the request's body."""
         self._request.data_received(data, ended)
 
     def writable(self) -> None:
-        """The receiver takes more."""
+        """Send further chunks, as the receiver accepts more."""
         if self._ticket is not None:
             self._ticket.blocked = False
-            self._pacer.give_turns()
+            self._pacer.send_chunks()
 
     def reset_received(self, code: ResetCode) -> None:
-        """The requester gave up."""
+        """Cancel the request, as the requester has reset the stream."""
         self._leave()
         self._request.reset_received(code)
 
     def connection_lost(self) -> None:
-        """Nobody is left to answer to."""
+        """Cancel the request, as the connection to the requester is lost."""
         self._leave()
         self._request.connection_lost()
