--- a/packages/coordination/src/pearward_coordination/broken_exchanges.py
+++ b/packages/coordination/src/pearward_coordination/broken_exchanges.py
@@ -19,7 +19,7 @@
 CUT_BEFORE_S = 1.0
 """Seconds before the first break in which what callers cut short counts as running: targets give
 such work up when they notice, some not before its end."""
-MOST_KEPT = 256
+MAX_KEPT = 256
 """Breaks that are kept, at most: more than any target has slots."""
 
 
@@ -49,7 +49,7 @@
 
     def broke(self, exchange: BrokenExchange) -> None:
         """Note an exchange that the target did not end with a whole answer."""
-        if len(self._broken) < MOST_KEPT:
+        if len(self._broken) < MAX_KEPT:
             self._broken.append(exchange)
 
     def answered(self, now: float) -> None:
--- a/packages/coordination/src/pearward_coordination/cold_limit.py
+++ b/packages/coordination/src/pearward_coordination/cold_limit.py
@@ -13,7 +13,7 @@
 
 WINDOW_S = 1.0
 """Seconds in which requests are counted: operators state what a cold target bears by second."""
-MOST_COUNTED = 256
+MAX_COUNTED = 256
 """Sends that are remembered: more in a second than any limit of a cold target allows."""
 TRANSIT_S = 0.1
 """A heartbeat that comes this soon after a doubt may have been sent before it."""
@@ -29,8 +29,8 @@
     def __init__(self) -> None:
         self._per_s = 0.0
         self._cold_until = 0.0
-        self._doubted_at: float | None = None
-        self._sent: deque[float] = deque(maxlen=MOST_COUNTED)
+        self._suspected_at: float | None = None
+        self._sent: deque[float] = deque(maxlen=MAX_COUNTED)
 
     # -- what becomes known -----------------------------------------------------
 
@@ -41,12 +41,12 @@
     def told(self, cold_s: float, now: float) -> None:
         """Take the seconds for which the target says that it stays cold."""
         self._cold_until = now + cold_s if cold_s > 0.0 else 0.0
-        if self._doubted_at is not None and now - self._doubted_at >= TRANSIT_S:
-            self._doubted_at = None
+        if self._suspected_at is not None and now - self._suspected_at >= TRANSIT_S:
+            self._suspected_at = None
 
     def doubt(self, now: float) -> None:
         """The target may have turned cold: it counts as such until it says otherwise."""
-        self._doubted_at = now
+        self._suspected_at = now
 
     def sent(self, now: float) -> None:
         """A request goes to the target."""
@@ -56,7 +56,7 @@
 
     def is_cold(self, now: float) -> bool:
         """Return whether the target may be cold."""
-        return self._doubted_at is not None or now < self._cold_until
+        return self._suspected_at is not None or now < self._cold_until
 
     def rate(self, now: float) -> float | None:
         """Return the requests a second that the target bears now; None where it is not limited."""
@@ -66,7 +66,7 @@
         """Return the seconds after which one more request may be sent; 0 at once."""
         if self.rate(now) is None:
             return 0.0
-        most = min(MOST_COUNTED, max(1, int(self._per_s)))
+        most = min(MAX_COUNTED, max(1, int(self._per_s)))
         if len(self._sent) < most:
             return 0.0
         return max(0.0, self._sent[-most] + WINDOW_S - now)
--- a/packages/coordination/src/pearward_coordination/content.py
+++ b/packages/coordination/src/pearward_coordination/content.py
@@ -16,15 +16,17 @@
 only its length is known when it is decided where it goes."""
 
 
-def content_digest(method: bytes, path: bytes, named: bytes, body_length: int, body: bytes) -> str:
+def content_digest(
+    method: bytes, path: bytes, identity_headers: bytes, body_length: int, body: bytes
+) -> str:
     """Return 16 hexadecimal digits that name what a request asks for.
 
-    *named* is what its headers add to the path, the host and the key; *body_length* is -1 where
+    *identity_headers* is what its headers add; *body_length* is -1 where
     the sender did not know it. Takes 2 us, and 8 us with a body of 4 kB (timeit).
     """
     counted = body if 0 <= body_length <= COUNTED_BODY else b""
     digest = blake2b(digest_size=DIGEST_BYTES)
-    for part in (method, path, named, b"%d" % body_length):
+    for part in (method, path, identity_headers, b"%d" % body_length):
         digest.update(b"%d:" % len(part))
         digest.update(part)
     digest.update(counted)
--- a/packages/coordination/src/pearward_coordination/era_settling.py
+++ b/packages/coordination/src/pearward_coordination/era_settling.py
@@ -1,13 +1,13 @@
-"""When keys may be given out again after the store has gone back to an older copy.
+"""Decide when keys may be granted again after the store was restored from an older copy.
 
-The store may have lost key maps that daemons still act on, and a planner that was started since
-does not know whom they gave keys to. The first map of a new era is therefore unsettled: whoever
-held keys all along goes on with them, and nobody is granted any others. It is settled once no
-lease can run that was granted by a map of an earlier era: as many instances have said so that
-those which have not make up no majority of any witness set.
+The store may have lost key maps that daemons still use, and a planner that started since then
+cannot know which targets these maps assigned keys to. The first map of a new era is therefore
+unsettled: targets that held keys without interruption keep them, and no other grants are made. The
+map is settled once no lease granted under a map of an earlier era can still run: so many instances
+have confirmed this that the others form no majority of any witness set.
 
-Of the ranges that nobody went on with, the fences may be lower than some that a lost map gave
-out; so their owners begin them under fences of the new era. No I/O and no clock.
+Ranges that no target kept may have lower fences than a lost map has issued, so their owners are
+granted them under fences of the new era. No I/O and no clock.
 """
 
 from collections.abc import Sequence
@@ -23,25 +23,26 @@
 
 
 class FormerLeases:
-    """Which instances have said that no lease runs there by a map of an earlier era."""
+    """Instances that have confirmed the end of all leases under maps of earlier eras."""
 
     def __init__(self) -> None:
         self._era = 0
-        self._over: set[str] = set()
+        self._ended: set[str] = set()
 
     def over_at(self, instance: str, version: int) -> None:
-        """An instance says so for the era of a version; an answer of an earlier era is late."""
+        """Record an instance's confirmation for the era of *version*; one for an earlier era is
+        ignored."""
         self._note_era(era_of(version))
         if era_of(version) == self._era:
-            self._over.add(instance)
+            self._ended.add(instance)
 
     def waits_for(self, key_map: KeyMap, instances: frozenset[str]) -> frozenset[str]:
-        """Return the instances that have not said so, in the era of a map."""
+        """Return the instances that have not confirmed this for the era of a map."""
         self._note_era(key_map.era)
-        return instances - self._over
+        return instances - self._ended
 
     def are_over(self, key_map: KeyMap, instances: frozenset[str]) -> bool:
-        """Return whether those that have not said so make up no majority of a witness set."""
+        """Return whether the unconfirmed instances form no majority of any witness set."""
         missing = len(self.waits_for(key_map, instances))
         sizes = [len(names) for row in key_map.witnesses for names in row.sets]
         return missing < majority(min(sizes, default=0))
@@ -49,11 +50,11 @@
     def _note_era(self, era: int) -> None:
         if era > self._era:
             self._era = era
-            self._over.clear()
+            self._ended.clear()
 
 
 def settled(key_map: KeyMap, owners: Sequence[KeyOwner]) -> KeyMap:
-    """Return the next version, in which nobody can hold keys by a lost map any more."""
+    """Return the next version of the map, in which no target can hold keys under a lost map."""
     now_settled = replace(key_map, version=key_map.version + 1, unsettled=False)
     fenced = fenced_anew(now_settled, owners)
     return replace(fenced or now_settled, version=now_settled.version)
@@ -65,23 +66,23 @@
 
 
 def fenced_anew(key_map: KeyMap, owners: Sequence[KeyOwner]) -> KeyMap | None:
-    """Return the next version of a settled map, or None where each range can be held.
+    """Return the next version of a settled map, or None if no fence has to change.
 
-    A range with a fence of an earlier era gets one of the present era where its owner has
-    reported by a map of this era and did not go on with it.
+    A range with a fence of an earlier era gets one of the present era if its owner has reported
+    under a map of this era and did not keep the range.
     """
     reported = {owner.target: owner for owner in owners if owner.reported}
     fence = next_number(key_map.fence, key_map.era)
 
-    def rests(r: KeyRange) -> bool:
+    def needs_fence(r: KeyRange) -> bool:
         owner = reported.get(r.owner)
         return era_of(r.fence) < key_map.era and owner is not None and not owner.was_granted(r)
 
     if key_map.unsettled:
         return None
     ranges = tuple(
-        # Whoever held these keys before has let them go: what earlier eras granted is over.
-        replace(r, fence=fence, predecessors=()) if rests(r) else r
+        # Earlier holders have released these keys, as all grants of earlier eras have expired.
+        replace(r, fence=fence, predecessors=()) if needs_fence(r) else r
         for r in key_map.ranges
     )
     if ranges == key_map.ranges:
--- a/packages/coordination/src/pearward_coordination/grant_calls.py
+++ b/packages/coordination/src/pearward_coordination/grant_calls.py
@@ -1,13 +1,15 @@
-"""Which keys are granted to a target, and taken back from it, by calls to the target.
+"""Grant keys to a target, and take them back, by calls to the target.
 
-Some targets are told their keys in the answers to their heartbeats, others by calls of
-their daemon. A call differs in three ways. A hold runs from the call's arrival, so the
-daemon sets the pace of renewals. Keys are taken back by a call of its own, answered when
-the work on them has ended. And a grant that goes unanswered may be taken seconds later,
-behind newer calls; so keys that were let go rest until every grant of them that was
-neither answered nor refused has surely run out. And a call names the target's id alone, which
-the target's next process may have as well: grants are made while the process that was heard
-runs.
+Some targets receive their grants in the responses to their heartbeats, others by calls from their
+daemon. Calls differ in four ways:
+
+* A hold runs from the arrival of the call, so the daemon sets the rate of renewals.
+* Keys are taken back by a separate call, which is answered when the work on them has ended.
+* A grant without a reply may take effect seconds later, after newer calls. Released keys therefore
+  stay unavailable until every grant of them that was neither answered nor refused has certainly
+  expired.
+* A call names only the target's id, which the target's next process may share. Grants are therefore
+  made only while the process that sent the heartbeats runs.
 
 No I/O and no clock.
 """
@@ -23,31 +25,31 @@
 __all__ = ["CALL_SENT_S", "CALL_TRANSIT_S", "GrantCall", "GrantCalls", "ReleaseCall"]
 
 CALL_TRANSIT_S = 0.15
-"""Seconds in which a call surely arrives at a target on the same instance; written ones
-take under a millisecond, so that this covers a busy processor many times."""
+"""Seconds within which a call certainly arrives at a target on the same instance. A written call
+takes under a millisecond, which leaves a large margin for a busy processor."""
 CALL_SENT_S = 0.05
-"""Seconds within which a call has to be with the kernel: a daemon that stood still since it
-reckoned the end of the hold does not send it any more."""
-MOST_UNDER_WAY = 16
-"""Grants that are under way at once. A daemon that has many to make after a restart would
-otherwise open a connection for each, and send the last ones long after it reckoned their holds."""
-REFUSED_REST_S = 0.5
-"""Seconds for which a refused grant is not made again: a newer map is here by then."""
-RENEWED_AFTER = 0.5
-"""Part of a hold after which it is renewed. A call that goes unanswered is made again after
-0.35 s, so that three may be lost in the rest of a hold of 2.7 s before the keys are."""
+"""Seconds within which a call must be written to the kernel. A daemon that was suspended after it
+computed the end of the hold does not send the call any more."""
+MAX_CONCURRENT_GRANTS = 16
+"""Maximum number of concurrent grants. After a restart a daemon with many grants would otherwise
+open a connection for each, and send the last ones long after it computed their holds."""
+REFUSED_RETRY_S = 0.5
+"""Seconds before a refused grant is retried; a newer map has arrived by then."""
+RENEW_AT_SHARE = 0.5
+"""Part of a hold after which it is renewed. A call without a reply is retried after 0.35 s, so that
+three calls may be lost in the rest of a hold of 2.7 s before the keys are lost."""
 
 
 @dataclass(frozen=True, slots=True, eq=False)
 class GrantCall:
-    """A grant, or its renewal, on its way to the target."""
+    """A grant or renewal in transit to the target."""
 
     row: GrantedRow
     hold_s: float
     hold: Hold
-    """What the target may hold by it from now on."""
+    """Keys that the target possibly holds from now on because of this call."""
     first_time: bool
-    """Whether the target has not confirmed these keys under this fence before."""
+    """Whether the target has not yet confirmed these keys under this fence."""
 
 
 @dataclass(frozen=True, slots=True, eq=False)
@@ -58,33 +60,33 @@
 
 
 class GrantCalls:
-    """The calls to one target, one incarnation of it after the other."""
+    """Calls to the incarnations of one target, one incarnation at a time."""
 
     def __init__(self, keeper: GrantKeeper) -> None:
         self._keeper = keeper
         self._grants: set[GrantCall] = set()
         self._releases: set[ReleaseCall] = set()
         self._refused: dict[GrantedRow, float] = {}
-        """Until when a refused row is not offered again."""
+        """Rows that were refused, and the time until which each is not sent again."""
 
     def target_changed(self) -> None:
-        """Another incarnation is there: answers to earlier calls tell nothing of it."""
+        """Reset the calls for another incarnation, to which earlier replies do not apply."""
         self._grants.clear()
         self._releases.clear()
         self._refused.clear()
 
-    # -- calls that are due ------------------------------------------------------------
+    # -- due calls -------------------------------------------------------------
 
     def due(self, now: float, *, attached: bool) -> list[GrantCall | ReleaseCall]:
-        """Return the calls to make now; each counts as under way until it is told otherwise.
+        """Return the calls to make now; each counts as in flight until its outcome is reported.
 
-        *attached* says that the process whose heartbeats were heard surely runs: the next one
-        under its id would take a renewal, and hold keys under the former one's fence.
+        *attached* states that the process that sent the heartbeats certainly runs: the next process
+        under its id would accept a renewal and hold keys under the former one's fence.
         """
         self._keeper.ledger.expire(now)
         calls: list[GrantCall | ReleaseCall] = []
         for row in list(self._keeper.unwanted(now)):
-            if not self._under_way(row.first, row.last):
+            if not self._in_flight(row.first, row.last):
                 release = ReleaseCall(row)
                 self._releases.add(release)
                 calls.append(release)
@@ -92,21 +94,21 @@
         if hold_s < SHORTEST_HOLD_S or not attached:
             return calls
         for granted, first_time in self._rows_due(now):
-            if len(self._grants) >= MOST_UNDER_WAY:
+            if len(self._grants) >= MAX_CONCURRENT_GRANTS:
                 break
             refused = self._refused.get(granted, now) > now
-            if not refused and not self._under_way(granted.first, granted.last):
+            if not refused and not self._in_flight(granted.first, granted.last):
                 calls.append(self._grant(granted, first_time, hold_s, now))
         return calls
 
-    def _under_way(self, first: int, last: int) -> bool:
-        """Whether a call on any of these keys has not been answered yet."""
+    def _in_flight(self, first: int, last: int) -> bool:
+        """Return whether a call on any of these keys has no reply yet."""
         return any(c.hold.overlaps(first, last) for c in self._grants) or any(
             c.row.first <= last and first <= c.row.last for c in self._releases
         )
 
     def _rows_due(self, now: float) -> Iterator[tuple[GrantedRow, bool]]:
-        """Yield the rows to grant or renew now, and whether they are new to the target."""
+        """Yield the rows to grant or renew now, and whether each is new to the target."""
         ledger = self._keeper.ledger
         held: list[KeyRange] = []
         for owned in self._keeper.ready_ranges(now):
@@ -116,7 +118,7 @@
             for row in self._keeper.first_rows(owned):
                 if ledger.oldest_sent(row.first, row.last, row.fence, now) is None:
                     yield row, True
-        renew_s = self._keeper.timing.hold_s * RENEWED_AFTER
+        renew_s = self._keeper.timing.hold_s * RENEW_AT_SHARE
         for span in _joined(held):
             sent = ledger.oldest_sent(span.first, span.last, span.fence, now)
             if sent is not None and now - sent >= renew_s:
@@ -126,50 +128,50 @@
         hold = Hold(
             row.first, row.last, row.fence,
             until=now + CALL_TRANSIT_S + hold_s * CLOCK_SLACK,
-            sure_until=now + hold_s, sent=now,
+            certain_until=now + hold_s, sent=now,
         )  # fmt: skip
         call = GrantCall(row, hold_s, hold, first_time)
-        self._keeper.ledger.expect(hold)
+        self._keeper.ledger.add_unconfirmed(hold)
         self._grants.add(call)
         return call
 
-    # -- what became of them -------------------------------------------------------------
+    # -- outcomes --------------------------------------------------------------
 
     def granted(self, call: GrantCall) -> bool:
-        """The target took a grant; return whether that is news of its present incarnation."""
+        """Record an accepted grant; return whether it concerns the target's present incarnation."""
         if call not in self._grants:
             return False
         self._grants.discard(call)
-        self._keeper.ledger.settle(call.hold)
+        self._keeper.ledger.remove_unconfirmed(call.hold)
         self._keeper.ledger.add(call.hold)
         if call.first_time:
-            self._keeper.note_begun(call.row.first, call.row.last, call.row.fence)
+            self._keeper.note_granted(call.row.first, call.row.last, call.row.fence)
         return True
 
     def refused(self, call: GrantCall, now: float) -> None:
-        """The target refused a grant: it has seen a higher fence, and this daemon is behind.
+        """Record a refused grant: the target has seen a higher fence than this daemon's.
 
-        The row is not offered again for a while, in which a newer map is asked for. A fence
-        is never raised here: only a newer map does that.
+        The row is not sent again for a while, in which a newer map is requested. Fences are never
+        raised here, only by a newer map.
         """
         if call not in self._grants:
             return
         self.not_sent(call)
         self._refused = {row: until for row, until in self._refused.items() if until > now}
-        self._refused[call.row] = now + REFUSED_REST_S
+        self._refused[call.row] = now + REFUSED_RETRY_S
 
     def not_sent(self, call: GrantCall) -> None:
-        """The call did not go out: the target cannot take it, and it is made again."""
+        """Record a call that was not sent: the target cannot accept it, and it is retried."""
         if call in self._grants:
             self._grants.discard(call)
-            self._keeper.ledger.settle(call.hold)
+            self._keeper.ledger.remove_unconfirmed(call.hold)
 
     def unanswered(self, call: GrantCall) -> None:
-        """No answer came: the grant may be taken yet, and is made again."""
+        """Record a call without a reply: the grant may still take effect, and is retried."""
         self._grants.discard(call)
 
     def released(self, call: ReleaseCall, token: str) -> bool:
-        """The target let keys go; return whether that is news of its present incarnation."""
+        """Record released keys; return whether this concerns the target's present incarnation."""
         if call not in self._releases:
             return False
         self._releases.discard(call)
@@ -177,12 +179,12 @@
         return True
 
     def release_unanswered(self, call: ReleaseCall) -> None:
-        """No answer came: the keys are asked for again, or their hold runs out."""
+        """Record a release without a reply: it is retried, unless the hold expires first."""
         self._releases.discard(call)
 
 
 def _joined(ranges: list[KeyRange]) -> Iterator[HeldRow]:
-    """Yield neighbouring ranges under one fence as one: each call carries one range."""
+    """Yield adjacent ranges under one fence as one, since each call carries one range."""
     span: HeldRow | None = None
     for owned in ranges:
         if span is not None and owned.first == span.last + 1 and owned.fence == span.fence:
--- a/packages/coordination/src/pearward_coordination/grants.py
+++ b/packages/coordination/src/pearward_coordination/grants.py
@@ -1,14 +1,14 @@
-"""What the target beside this daemon may hold of its service's keys, and for how long.
+"""Which of its service's keys the local target may hold, and for how long.
 
-A target enforces its own lease: it counts a hold from the moment it sent the heartbeat, on
-a clock that may run slow. The daemon beside it grants a hold only
+A target enforces its own lease: it counts a hold from the moment it sent the heartbeat, on a clock
+that may run slow. Its daemon grants a hold only
 
-* for ranges that the key map gives to exactly this incarnation of the target,
-* after every predecessor of the range has let it go, and
-* for a time that ends within the daemon's own lease, which a majority of the target's
-  witnesses renews, and which they wait out before they release the target's keys.
+* for ranges that the key map assigns to exactly this incarnation of the target,
+* after every predecessor of the range has released it, and
+* for a time that ends within the daemon's own lease. A majority of the target's witnesses renews
+  this lease, and they wait for its end before they release the target's keys.
 
-No I/O and no clock: times are seconds of one steady clock, handed in.
+No I/O and no clock: times are seconds of one steady clock, passed in by the caller.
 """
 
 from collections.abc import Iterable, Iterator
@@ -31,28 +31,27 @@
 ]
 
 HOLD_S = 2.7
-"""Seconds of one hold: a daemon that is killed stands again after 1.4 s and hears the
-target's next heartbeat up to 0.9 s later; a target that leaves without notice keeps its
-keys as long."""
+"""Seconds of one hold. A killed daemon runs again after 1.4 s and receives the target's next
+heartbeat up to 0.9 s later. A target that leaves without notice keeps its keys this long."""
 LEASE_S = 3.2
-"""Seconds of a daemon's own lease: a hold, and two renewals that may be lost. The keys of
-an instance that is lost for good rest as long."""
+"""Seconds of a daemon's own lease: one hold plus two renewals that may be lost. The keys of an
+instance that is permanently lost are unavailable this long."""
 RENEW_S = 0.4
 CLOCK_SLACK = 1.02
-"""Factor by which a target's clock may run slow. Source: the interface of the targets."""
+"""Factor by which a target's clock may run slow, as the interface of the targets states."""
 SHORTEST_HOLD_S = 0.3
-"""A hold that would be shorter is not granted."""
+"""Minimum seconds of a hold; a shorter one is not granted."""
 TOKENS_KEPT = 256
-"""Hand-over tokens that are kept for those who ask for them, the newest."""
-BEAT_TRANSIT_S = 0.1
-"""A hold is taken to have begun this long before its heartbeat was received."""
+"""Number of handoff tokens kept for replies to later requests; the oldest are dropped first."""
+HEARTBEAT_TRANSIT_S = 0.1
+"""Seconds before the receipt of its heartbeat at which a hold is assumed to have started."""
 GRANT_TRANSIT_S = 0.008
-"""Requests follow a grant after this pause: the two travel on different connections."""
+"""Seconds after a grant before requests follow it, as the two use different connections."""
 
 
 @dataclass(frozen=True, slots=True)
 class GrantTiming:
-    """Times of the holds that a daemon grants, and of its own lease."""
+    """Durations of the holds that a daemon grants, and of its own lease."""
 
     hold_s: float = HOLD_S
     lease: LeaseTiming = field(
@@ -62,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HeldRow:
-    """Keys that a target says it holds, or still works on."""
+    """Keys that a target reports as held, or as still in use by running requests."""
 
     first: int
     last: int
@@ -71,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleasedRow:
-    """Keys that a target has let go, with the token that hands its warm state over."""
+    """Keys that a target has released, with the handoff token for its warm state."""
 
     first: int
     last: int
@@ -80,17 +79,17 @@
 
 @dataclass(frozen=True, slots=True)
 class GrantedRow:
-    """Keys that a target is to hold."""
+    """Keys that a target is granted."""
 
     first: int
     last: int
     fence: int
     token: str
-    """Hand-over token of the former holder; empty where there is none."""
+    """Handoff token of the former holder; empty if there is none."""
 
 
 class GrantKeeper:
-    """Grants to one target, one incarnation of it after the other."""
+    """Manages the grants to the incarnations of one target, one at a time."""
 
     def __init__(self, service: str, started: float, timing: GrantTiming) -> None:
         self._service = service
@@ -99,16 +98,17 @@
         self._target = ""
         self._map: KeyMap | None = None
         self._owned: tuple[KeyRange, ...] = ()
-        """Ranges that the map gives to the target."""
+        """Ranges that the map assigns to the target."""
         self._lease_ends = NEVER
         self._ledger = HoldLedger()
         self._released_by: dict[Predecessor, list[ReleasedRow]] = {}
         self._tokens: list[ReleasedRow] = []
-        self._begun: set[HeldRow] = set()
+        self._granted: set[HeldRow] = set()
         self._heard = False
         self._ended: set[str] = set()
         self._lingering: dict[str, float] = {}
-        """Former incarnations that may live yet, and when all that they may hold has run out."""
+        """Former incarnations that may still run, and the time by which all their holds have
+        expired."""
 
     # -- properties -------------------------------------------------------------
 
@@ -124,17 +124,17 @@
 
     @property
     def key_map(self) -> KeyMap | None:
-        """The key map that is acted on."""
+        """The key map in use."""
         return self._map
 
     @property
     def ledger(self) -> HoldLedger:
-        """What the target may hold, and surely holds."""
+        """Keys that the target possibly and certainly holds."""
         return self._ledger
 
     @property
     def timing(self) -> GrantTiming:
-        """Times of the holds."""
+        """Durations of holds and leases."""
         return self._timing
 
     @property
@@ -142,70 +142,73 @@
         """Time by which the last hold must have ended: the end of the daemon's lease."""
         return self._lease_ends
 
-    # -- what becomes known -------------------------------------------------------
+    # -- state changes ---------------------------------------------------------
 
     def target_changed(self, target: str) -> None:
-        """Another incarnation beats: what the former one held ended with it."""
+        """Note heartbeats of another incarnation; all holds of the former one ended with it."""
         if target == self._target:
             return
         if self._target:
             self._ended.add(self._target)
-        self._begin(target)
+        self._reset_for(target)
 
     def target_supposed(self, target: str, now: float) -> None:
-        """Another incarnation seems to beat, under the same id: the former one may live yet.
+        """Note that heartbeats under the same id seem to come from another incarnation.
 
-        It counts as ended when all that it may hold has run out.
+        The former one possibly still runs and counts as ended only when all its holds have expired.
         """
         self._lingering[self._target] = now + self._timing.hold_s * CLOCK_SLACK
-        self._begin(target)
+        self._reset_for(target)
 
-    def _begin(self, target: str) -> None:
+    def _reset_for(self, target: str) -> None:
         self._target = target
         self._ledger.clear()
-        self._begun.clear()
+        self._granted.clear()
         self._tokens.clear()
         self._heard = False
         self._find_owned()
 
     def target_ended(self) -> None:
-        """The target's process is known to be gone."""
+        """Note that the target's process has terminated."""
         self.target_changed("")
 
     def note_ended(self, target: str) -> None:
-        """An incarnation that an earlier life of this daemon served is known to be gone."""
+        """Note the end of an incarnation that an earlier process of this daemon served."""
         if target != self._target:
             self._ended.add(target)
 
     def has_ended(self, target: str) -> bool:
-        """Return whether an incarnation beside this daemon is known to be gone."""
+        """Return whether an incarnation of the local target has certainly ended."""
         return target in self._ended
 
     def ended_by(self, now: float) -> list[str]:
-        """Return former incarnations that might have lived, and now count as ended."""
-        over = [target for target, until in self._lingering.items() if now >= until]
-        for target in over:
+        """Return former incarnations that possibly still ran until now and now count as ended."""
+        expired = [target for target, until in self._lingering.items() if now >= until]
+        for target in expired:
             del self._lingering[target]
             self._ended.add(target)
-        return over
+        return expired
 
     def adopt(self, key_map: KeyMap, now: float) -> bool:
-        """Act on a newer map; return whether it was newer."""
+        """Use a newer map; return whether it was newer."""
         former = self._map
         if former is not None and key_map.version <= former.version:
             return False
         self._map = key_map
         self._find_owned()
-        begun = [r for r in self._owned if self._has_begun(r) and self._goes_on(r, former, now)]
-        self._begun = {HeldRow(r.first, r.last, r.fence) for r in begun}
+        granted = [
+            r for r in self._owned if self._has_begun(r) and self._keeps_range(r, former, now)
+        ]
+        self._granted = {HeldRow(r.first, r.last, r.fence) for r in granted}
         predecessors = {p for r in self._owned for p in r.predecessors}
         self._released_by = {p: rows for p, rows in self._released_by.items() if p in predecessors}
         return True
 
-    def _goes_on(self, owned: KeyRange, former: KeyMap | None, now: float) -> bool:
-        """Whether the target goes on with a range that it was granted by a former map.
+    def _keeps_range(self, owned: KeyRange, former: KeyMap | None, now: float) -> bool:
+        """Return whether the target keeps a range that it was granted under a former map.
 
-        Where keys were not held all along, a map that the store has lost may have given them away.
+        If it did not hold the keys without interruption, a map that the store has lost may have
+        assigned them to another target.
         """
         key_map = self._map
         assert key_map is not None
@@ -215,107 +218,110 @@
             return not key_map.unsettled
         if former.era == key_map.era:
             return True
-        return self._ledger.surely_holds(owned.first, owned.last, owned.fence, now)
+        return self._ledger.certainly_holds(owned.first, owned.last, owned.fence, now)
 
     def _find_owned(self) -> None:
         self._owned = self._map.owned_by(self._target) if self._map is not None else ()
 
     def lease_until(self, until: float) -> None:
-        """The daemon's own lease, as its witnesses renewed it, runs until *until*."""
+        """Set the end of the daemon's own lease, as renewed by its witnesses."""
         self._lease_ends = until
 
     def heartbeat(
         self, now: float, held: Iterable[HeldRow], released: Iterable[ReleasedRow]
     ) -> None:
-        """Take what the target says it holds and has let go."""
+        """Record the keys that the target reports as held and as released."""
         for row in released:
             self.let_go(row)
         if not self._heard:
-            # Granted by an earlier life of this daemon, whose grants ended before it did.
+            # Granted by an earlier process of this daemon, whose grants ended before it did.
             self._heard = True
             until = now + self._timing.hold_s * CLOCK_SLACK
             for row_held in held:
                 self._ledger.add(Hold(row_held.first, row_held.last, row_held.fence, until, now))
-                self.note_begun(row_held.first, row_held.last, row_held.fence)
+                self.note_granted(row_held.first, row_held.last, row_held.fence)
 
     def let_go(self, row: ReleasedRow) -> None:
-        """The target said that it has let keys go."""
+        """Record keys that the target has released."""
         self._tokens.append(row)
         del self._tokens[:-TOKENS_KEPT]
-        self._ledger.cut(row.first, row.last)
+        self._ledger.remove_range(row.first, row.last)
 
     def begun_unknown(self, transit_s: float) -> None:
-        """The target is there, and does not say what it holds.
+        """Note that the target runs but does not report its holds.
 
-        An earlier life of this daemon may have granted it any keys, by a call that was on
-        its way for *transit_s* seconds.
+        An earlier process of this daemon may have granted it any keys, by a call that was in
+        transit for *transit_s* seconds.
         """
         if not self._heard:
             self._heard = True
             until = self._started + transit_s + self._timing.hold_s * CLOCK_SLACK
-            self._ledger.expect(Hold(0, KEY_SPACE - 1, 0, until, self._started))
+            self._ledger.add_unconfirmed(Hold(0, KEY_SPACE - 1, 0, until, self._started))
 
     def released(self, predecessor: Predecessor, row: ReleasedRow) -> None:
-        """A predecessor's daemon confirmed that the target there let keys go."""
+        """Record the confirmation of a predecessor's daemon that its target has released keys."""
         rows = self._released_by.setdefault(predecessor, [])
         if row.token or not covered(row.first, row.last, ((r.first, r.last) for r in rows)):
             rows.append(row)
 
     def _has_begun(self, owned: KeyRange) -> bool:
-        """Whether the target was granted all keys of a range under its present fence."""
-        if HeldRow(owned.first, owned.last, owned.fence) in self._begun:
+        """Return whether the target was granted all keys of a range under its present fence."""
+        if HeldRow(owned.first, owned.last, owned.fence) in self._granted:
             return True
-        spans = ((b.first, b.last) for b in self._begun if b.fence == owned.fence)
+        spans = ((b.first, b.last) for b in self._granted if b.fence == owned.fence)
         return covered(owned.first, owned.last, spans)
 
     # -- grants -----------------------------------------------------------------------
 
     def hold_s(self, received: float) -> float:
-        """Return the hold in seconds that a heartbeat received at *received* may be given.
+        """Return the hold in seconds that a heartbeat received at *received* may be granted.
 
-        The target counts from its own, earlier sending, so its hold ends by
-        ``received + hold * CLOCK_SLACK`` however late the answer is.
+        The target counts from the earlier time of sending, so its hold ends by ``received + hold *
+        CLOCK_SLACK`` regardless of the response's delay.
         """
         within_lease = (self._lease_ends - received) / CLOCK_SLACK
         return min(self._timing.hold_s, within_lease)
 
     def grant(self, received: float, now: float) -> tuple[list[GrantedRow], float] | None:
-        """Return the rows to hold and the hold in seconds; None renews nothing."""
+        """Return the rows to hold and the hold in seconds, or None if nothing is renewed."""
         hold = self.hold_s(received)
         if self._map is None or not self._target or received + hold < now + SHORTEST_HOLD_S:
             return None
         until = received + hold * CLOCK_SLACK
-        sure_until = received - BEAT_TRANSIT_S + hold
+        certain_until = received - HEARTBEAT_TRANSIT_S + hold
         rows: list[GrantedRow] = []
         for owned in self._owned:
             if not self._ready(owned, now):
                 continue
-            begun = self._has_begun(owned)
-            rows.extend(self._continued(owned) if begun else self.first_rows(owned))
-            self._begun.add(HeldRow(owned.first, owned.last, owned.fence))
-            begins = now if begun else now + GRANT_TRANSIT_S
-            # The answer replaces what the target held of these keys, also where it is shorter.
-            self._ledger.cut(owned.first, owned.last)
-            self._ledger.add(Hold(owned.first, owned.last, owned.fence, until, sure_until, begins))
+            granted = self._has_begun(owned)
+            rows.extend(self._continued(owned) if granted else self.first_rows(owned))
+            self._granted.add(HeldRow(owned.first, owned.last, owned.fence))
+            effective_from = now if granted else now + GRANT_TRANSIT_S
+            # The response replaces the target's present holds on these keys, even if it is shorter.
+            self._ledger.remove_range(owned.first, owned.last)
+            self._ledger.add(
+                Hold(owned.first, owned.last, owned.fence, until, certain_until, effective_from)
+            )
         return rows, hold
 
     def _continued(self, owned: KeyRange) -> list[GrantedRow]:
         return [GrantedRow(owned.first, owned.last, owned.fence, "")]
 
     def ready_ranges(self, now: float) -> list[KeyRange]:
-        """Return the target's ranges that nobody else can hold any more, by key."""
+        """Return the target's ranges that no other target can hold any more, in key order."""
         if self._map is None or not self._target:
             return []
         return [owned for owned in self._owned if self._ready(owned, now)]
 
-    def note_begun(self, first: int, last: int, fence: int) -> None:
-        """The target confirmed that it holds keys under a fence."""
+    def note_granted(self, first: int, last: int, fence: int) -> None:
+        """Record the target's confirmation that it holds keys under a fence."""
         key_map = self._map
         if key_map is None or not key_map.unsettled or era_of(fence) >= key_map.era:
-            self._begun.add(HeldRow(first, last, fence))
+            self._granted.add(HeldRow(first, last, fence))
 
     def first_rows(self, owned: KeyRange) -> list[GrantedRow]:
-        """Return the rows of a range that the target gets anew, one for each token."""
+        """Return the rows of a range that the target is granted for the first time, one per
+        token."""
         rows: list[GrantedRow] = []
         start = owned.first
         for released in self._tokens_for(owned):
@@ -331,7 +337,7 @@
         return rows
 
     def _tokens_for(self, owned: KeyRange) -> list[ReleasedRow]:
-        """Return the tokens that the last holder of a range gave, in the order of the keys."""
+        """Return the tokens from the last holder of a range, in key order."""
         for predecessor in sorted(owned.predecessors, key=lambda p: -p.fence):
             rows = [row for row in self._released_by.get(predecessor, ()) if row.token]
             if rows:
@@ -339,7 +345,7 @@
         return []
 
     def _ready(self, owned: KeyRange, now: float) -> bool:
-        """Whether nobody else can hold the range any more, nor has held it under a later fence."""
+        """Return whether no other target can hold the range, or has held it under a later fence."""
         if self._has_begun(owned):
             return True
         key_map = self._map
@@ -353,12 +359,12 @@
         spans = ((row.first, row.last) for row in self._released_by.get(predecessor, ()))
         return covered(owned.first, owned.last, spans)
 
-    # -- questions -----------------------------------------------------------------------
+    # -- queries ---------------------------------------------------------------
 
     def serves(self, key: int, now: float) -> int:
-        """Return the fence under which the target surely holds *key* now, or 0.
+        """Return the fence under which the target certainly holds *key* now, or 0.
 
-        Keys that the map has given away are not served, though they may be held yet.
+        Keys that the map has assigned to another target are not served, even if still held.
         """
         owned = self._map.range_of(key) if self._map is not None else None
         if owned is None or owned.owner != self._target:
@@ -367,27 +373,28 @@
         return fence if fence == owned.fence else 0
 
     def may_hold(self, first: int, last: int, now: float, below: int = 2**62) -> bool:
-        """Return whether the target may hold any of these keys, under a fence below *below*."""
+        """Return whether the target possibly holds any of these keys under a fence below
+        *below*."""
         return self._ledger.may_hold(first, last, now, below)
 
     def pending(self, now: float) -> list[KeyRange]:
-        """Return the ranges that the map gives to the target and a predecessor still has."""
+        """Return the ranges assigned to the target that a predecessor may still hold."""
         if self._map is None or not self._target:
             return []
         return [r for r in self._owned if not self._ready(r, now)]
 
     def ready_to_begin(self, now: float) -> bool:
-        """Return whether a range could be granted now that the target does not hold yet."""
+        """Return whether a range that the target does not hold yet could be granted now."""
         if self._map is None or not self._target or self._lease_ends <= now:
             return False
         return any(not self._has_begun(r) and self._ready(r, now) for r in self._owned)
 
     def must_let_go(self, now: float) -> bool:
-        """Return whether the target may hold keys that the map no longer gives to it."""
+        """Return whether the target may hold keys that the map no longer assigns to it."""
         return any(True for _ in self.unwanted(now))
 
     def unwanted(self, now: float) -> Iterator[HeldRow]:
-        """Yield keys that the target may hold and that the map no longer gives to it."""
+        """Yield keys that the target may hold but that the map no longer assigns to it."""
         if self._map is None:
             return
         for hold in self._ledger:
@@ -401,13 +408,12 @@
     def release_of(
         self, target: str, first: int, last: int, fence: int, version: int, now: float
     ) -> list[ReleasedRow] | None:
-        """Answer whether *target*, once beside this daemon, has let keys go for good.
+        """Return proof that *target*, now or formerly local, has permanently released keys.
 
-        Returns rows that together hold the keys from *first* to *last*, with the tokens
-        where there are some, or None while the target may still hold one of the keys.
-        *version* is that of the map that took them away: a daemon that acts on an older
-        one may yet grant them, though nothing is held now. One of an earlier era of the store
-        tells nothing of who owns them now.
+        The rows returned cover the keys from *first* to *last*, with tokens where there are any;
+        None means that the target may still hold one of the keys. *version* is the version of the
+        map that reassigned them: a daemon that uses an older one may still grant them, even if none
+        is held now. A version of an earlier era of the store does not show the present owners.
         """
         if self._map is None or self._map.version < version or era_of(version) < self._map.era:
             return None
@@ -415,16 +421,16 @@
             if not self._heard or self.may_hold(first, last, now, below=fence + 1):
                 return None
             return self._tokens_between(first, last)
-        run_out = now >= self._started + self._timing.hold_s * CLOCK_SLACK
+        all_expired = now >= self._started + self._timing.hold_s * CLOCK_SLACK
         if now < self._lingering.get(target, 0.0):
             return None
-        if target in self._ended or run_out:
-            # Not heard of in this life: what an earlier one granted has run out.
+        if target in self._ended or all_expired:
+            # Unknown to this process: the grants of an earlier one have expired.
             return [ReleasedRow(first, last, "")]
         return None
 
     def _tokens_between(self, first: int, last: int) -> list[ReleasedRow]:
-        """Cut the keys from *first* to *last* by the newest tokens they were let go with."""
+        """Split the keys from *first* to *last* by the newest tokens they were released with."""
         rows: list[ReleasedRow] = []
         start = first
         while start <= last:
@@ -440,4 +446,4 @@
 
     def confirmed(self) -> list[HeldRow]:
         """Return the ranges of the present map that the target was granted."""
-        return sorted(self._begun, key=lambda row: row.first)
+        return sorted(self._granted, key=lambda row: row.first)
--- a/packages/coordination/src/pearward_coordination/hold_ledger.py
+++ b/packages/coordination/src/pearward_coordination/hold_ledger.py
@@ -1,8 +1,8 @@
-"""Which keys a target may hold at this moment, by all that its daemon has granted.
+"""Ledger of the keys that a target may hold, by all grants of its daemon.
 
-Two questions are answered, and each is answered on the safe side: whether the target may
-still hold a key, so that nobody else may have it, and whether it surely holds a key, so
-that requests may be sent to it. No I/O and no clock.
+Answers two queries, each conservatively: whether the target possibly holds a key, so that no other
+target may be granted it, and whether it certainly holds a key, so that requests may be sent to it.
+No I/O and no clock.
 """
 
 from bisect import bisect_right, insort
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Hold:
-    """Keys that a target was granted, or may have been, and when that ends.
+    """Keys that a target was granted, or may have been granted, and the end of that grant.
 
     All times are seconds of the daemon's steady clock.
     """
@@ -29,44 +29,44 @@
     fence: int
     until: float
     """Latest end of the hold."""
-    sure_until: float
+    certain_until: float
     """Earliest end of the hold."""
-    begins: float = 0.0
-    """From when requests for the keys find them held."""
+    effective_from: float = 0.0
+    """Earliest time at which requests for the keys find them held."""
     sent: float = 0.0
-    """When the grant went out."""
+    """Time at which the grant was sent."""
 
     def overlaps(self, first: int, last: int) -> bool:
-        """Return whether any key from *first* to *last* is among these."""
+        """Return whether the hold includes any key from *first* to *last*."""
         return self.first <= last and first <= self.last
 
 
 class HoldLedger:
-    """The holds of one target's incarnation."""
+    """Holds of one incarnation of a target."""
 
     def __init__(self) -> None:
         self._holds: list[Hold] = []
-        """Confirmed ones by their first key; no two share a key."""
+        """Confirmed holds in key order; no two share a key."""
         self._unconfirmed: list[Hold] = []
 
     def __iter__(self) -> Iterator[Hold]:
         return iter(self._holds)
 
     def clear(self) -> None:
-        """Forget everything: the target's process has ended."""
+        """Remove all holds, as the target's process has ended."""
         self._holds.clear()
         self._unconfirmed.clear()
 
-    # -- what is known to be taken --------------------------------------------------
+    # -- confirmed holds -------------------------------------------------------
 
     def add(self, hold: Hold) -> None:
-        """Note a hold in place of earlier ones on its keys; none of them ends sooner by it."""
+        """Replace earlier holds on the same keys; the latest end of any of them is kept."""
         until = max((h.until for h in self._on(hold.first, hold.last)), default=hold.until)
-        self.cut(hold.first, hold.last)
+        self.remove_range(hold.first, hold.last)
         insort(self._holds, replace(hold, until=max(until, hold.until)), key=_first)
 
-    def cut(self, first: int, last: int) -> None:
-        """Forget confirmed holds on the keys from *first* to *last*."""
+    def remove_range(self, first: int, last: int) -> None:
+        """Remove confirmed holds on the keys from *first* to *last*."""
         touched = self._on(first, last)
         if not touched:
             return
@@ -80,7 +80,7 @@
         self._holds[at : at + len(touched)] = kept
 
     def _on(self, first: int, last: int) -> list[Hold]:
-        """Return the confirmed holds on any key from *first* to *last*, by key."""
+        """Return the confirmed holds on any key from *first* to *last*, in key order."""
         at = max(0, bisect_right(self._holds, first, key=_first) - 1)
         found: list[Hold] = []
         while at < len(self._holds) and self._holds[at].first <= last:
@@ -90,42 +90,43 @@
         return found
 
     def expire(self, now: float) -> None:
-        """Forget holds that have run out."""
+        """Remove holds that have expired."""
         self._holds = [h for h in self._holds if h.until > now]
         self._unconfirmed = [h for h in self._unconfirmed if h.until > now]
 
-    # -- what may be taken yet ---------------------------------------------------------
+    # -- unconfirmed grants ----------------------------------------------------
 
-    def expect(self, hold: Hold) -> None:
-        """Note a grant that is on its way: from now on it may be taken, however late."""
+    def add_unconfirmed(self, hold: Hold) -> None:
+        """Record a grant in transit, which may take effect at any time from now on."""
         self._unconfirmed.append(hold)
 
-    def settle(self, hold: Hold) -> None:
-        """A grant on its way was answered: it will not be taken later."""
+    def remove_unconfirmed(self, hold: Hold) -> None:
+        """Remove a grant that was in transit, as its reply shows that it takes no effect later."""
         if hold in self._unconfirmed:
             self._unconfirmed.remove(hold)
 
-    # -- questions ------------------------------------------------------------------------
+    # -- queries ---------------------------------------------------------------
 
     def may_hold(self, first: int, last: int, now: float, below: int) -> bool:
-        """Return whether any of these keys may be held under a fence below *below*."""
+        """Return whether any of these keys is possibly held under a fence below *below*."""
         expected = (h for h in self._unconfirmed if h.overlaps(first, last))
         return any(h.until > now and h.fence < below for h in (*self._on(first, last), *expected))
 
     def fence_at(self, key: int, now: float) -> int:
-        """Return the fence under which *key* is surely held now, or 0."""
+        """Return the fence under which *key* is certainly held now, or 0."""
         for hold in self._on(key, key):
-            if hold.begins <= now < hold.sure_until:
+            if hold.effective_from <= now < hold.certain_until:
                 return hold.fence
         return 0
 
-    def surely_holds(self, first: int, last: int, fence: int, now: float) -> bool:
-        """Return whether all of these keys are surely held under a fence."""
-        held = (h for h in self._on(first, last) if h.fence == fence and now < h.sure_until)
+    def certainly_holds(self, first: int, last: int, fence: int, now: float) -> bool:
+        """Return whether all of these keys are certainly held under a fence."""
+        held = (h for h in self._on(first, last) if h.fence == fence and now < h.certain_until)
         return covered(first, last, ((h.first, h.last) for h in held))
 
     def oldest_sent(self, first: int, last: int, fence: int, now: float) -> float | None:
-        """Return when the oldest grant that holds these keys went out; None where one is free."""
+        """Return the send time of the oldest grant on these keys, or None if one of them is not
+        held."""
         missing = first
         oldest: float | None = None
         for hold in self._on(first, last):
--- a/packages/coordination/src/pearward_coordination/incarnations.py
+++ b/packages/coordination/src/pearward_coordination/incarnations.py
@@ -12,11 +12,11 @@
 
 __all__ = ["BeatClock", "BeatSign"]
 
-FIRST_CALLS = 6
+MAX_INITIAL_SEQUENCE = 6
 """Calls of a new incarnation that may have met a daemon that was not there yet."""
 PRESENT_S = 2.0
 """Seconds after a heartbeat in which its sender counts as present: two intervals."""
-COUNTS_ANEW_S = 0.2
+RESTART_SPACING_S = 0.2
 """Seconds between two heartbeats that count anew from which they are a new life's: late ones
 that were held up together arrive at once."""
 MISSED_S = 1.2
@@ -38,27 +38,27 @@
 
 
 @dataclass(slots=True)
-class _Life:
+class _Incarnation:
     """The newest life of one id."""
 
     name: str
     born_ms: int | None
     sequence: int
-    heard_at: float
-    supposed: bool = False
-    low_sequence: int = 0
+    last_heartbeat: float
+    presumed: bool = False
+    restart_sequence: int = 0
     """Count of the last heartbeat that was not above the newest; 0 where there was none."""
-    low_at: float = 0.0
+    restart_at: float = 0.0
 
 
 class BeatClock:
     """When the present incarnation beat last, and which heartbeats are old ones."""
 
     def __init__(self) -> None:
-        self._lives: dict[str, _Life] = {}
+        self._newest: dict[str, _Incarnation] = {}
         self._former: tuple[str, ...] = ()
         self._last = 0.0
-        self._sure = False
+        self._certain = False
 
     @property
     def last(self) -> float:
@@ -70,30 +70,42 @@
     def former_known(self, names: list[str]) -> None:
         """Take the incarnations that earlier lives of this daemon served, the newest last."""
         self._former = tuple(names)
-        for target, life in self._lives.items():
-            if life.born_ms is None and life.name == target:
-                life.name = self._served_last(target)
+        for target, incarnation in self._newest.items():
+            if incarnation.born_ms is None and incarnation.name == target:
+                incarnation.name = self._served_last(target)
 
-    def incarnation_of(self, sign: BeatSign, now: float, unix_ms: int) -> str | None:
+    def incarnation_of(self, identity: BeatSign, now: float, unix_ms: int) -> str | None:
         """Return the incarnation that a heartbeat is of, or None for one that is late."""
-        life = self._lives.get(sign.target)
-        if life is None:
-            if sign.born_ms is None:
-                return self._begin(sign, self._served_last(sign.target), now)
-            return self._begin(sign, _name(sign.target, sign.born_ms), now)
-        if sign.born_ms is not None and life.born_ms is not None and sign.born_ms != life.born_ms:
-            if sign.born_ms < life.born_ms:
+        incarnation = self._newest.get(identity.target)
+        if incarnation is None:
+            if identity.born_ms is None:
+                return self._track(identity, self._served_last(identity.target), now)
+            return self._track(identity, _incarnation_name(identity.target, identity.born_ms), now)
+        if (
+            identity.born_ms is not None
+            and incarnation.born_ms is not None
+            and identity.born_ms != incarnation.born_ms
+        ):
+            if identity.born_ms < incarnation.born_ms:
                 return None
-            return self._begin(sign, _name(sign.target, sign.born_ms), now)
-        if sign.sequence > life.sequence:
-            life.sequence, life.heard_at, life.low_sequence = sign.sequence, now, 0
-            life.born_ms = life.born_ms if sign.born_ms is None else sign.born_ms
-            return life.name
-        if sign.born_ms is not None and sign.born_ms == life.born_ms:
+            return self._track(identity, _incarnation_name(identity.target, identity.born_ms), now)
+        if identity.sequence > incarnation.sequence:
+            incarnation.sequence, incarnation.last_heartbeat, incarnation.restart_sequence = (
+                identity.sequence,
+                now,
+                0,
+            )
+            incarnation.born_ms = (
+                incarnation.born_ms if identity.born_ms is None else identity.born_ms
+            )
+            return incarnation.name
+        if identity.born_ms is not None and identity.born_ms == incarnation.born_ms:
             return None
-        if self._counts_anew(life, sign, now):
-            name = _name(sign.target, unix_ms if sign.born_ms is None else sign.born_ms)
-            return self._begin(sign, name, now, supposed=True)
+        if self._has_restarted(incarnation, identity, now):
+            name = _incarnation_name(
+                identity.target, unix_ms if identity.born_ms is None else identity.born_ms
+            )
+            return self._track(identity, name, now, presumed=True)
         return None
 
     def is_supposed(self, target: str) -> bool:
@@ -101,30 +113,37 @@
 
         Then the former one may live yet.
         """
-        life = self._lives.get(target)
-        return life is not None and life.supposed
+        incarnation = self._newest.get(target)
+        return incarnation is not None and incarnation.presumed
 
     def _served_last(self, target: str) -> str:
         """Name an id that this life of the daemon has not heard before: its newest known life."""
         served = [name for name in self._former if target_id(name) == target]
         return served[-1] if served else target
 
-    def _begin(self, sign: BeatSign, name: str, now: float, *, supposed: bool = False) -> str:
-        self._lives[sign.target] = _Life(name, sign.born_ms, sign.sequence, now, supposed)
+    def _track(self, identity: BeatSign, name: str, now: float, *, presumed: bool = False) -> str:
+        self._newest[identity.target] = _Incarnation(
+            name, identity.born_ms, identity.sequence, now, presumed
+        )
         return name
 
     @staticmethod
-    def _counts_anew(life: _Life, sign: BeatSign, now: float) -> bool:
+    def _has_restarted(incarnation: _Incarnation, identity: BeatSign, now: float) -> bool:
         """Return whether a target has started again, of which one life did not tell its birth.
 
         Two heartbeats in turn have to count anew, while the known life misses one of its own.
         """
-        rises = 0 < life.low_sequence < sign.sequence
-        apart = now - life.low_at >= COUNTS_ANEW_S
-        if rises and apart and sign.holds_nothing and now - life.heard_at >= MISSED_S:
+        rises = 0 < incarnation.restart_sequence < identity.sequence
+        apart = now - incarnation.restart_at >= RESTART_SPACING_S
+        if (
+            rises
+            and apart
+            and identity.holds_nothing
+            and now - incarnation.last_heartbeat >= MISSED_S
+        ):
             return True
         if not rises or apart:
-            life.low_sequence, life.low_at = sign.sequence, now
+            incarnation.restart_sequence, incarnation.restart_at = identity.sequence, now
         return False
 
     # -- incarnations at one address ------------------------------------------------
@@ -132,12 +151,12 @@
     def heard(self, now: float) -> None:
         """The present incarnation beat."""
         self._last = now
-        self._sure = True
+        self._certain = True
 
     def doubt(self) -> bool:
         """Another incarnation answered at the address; return whether that is news."""
-        was_sure, self._sure = self._sure, False
-        return was_sure
+        was_certain, self._certain = self._certain, False
+        return was_certain
 
     def is_from_the_past(self, sequence: int, connections: int, now: float) -> bool:
         """Return whether a heartbeat of another incarnation is one of a former target.
@@ -147,11 +166,11 @@
         that begins to count while *connections* to the present one are open: they end with
         its process, which has to end before another one has its address.
         """
-        if not self._sure or now - self._last >= PRESENT_S:
+        if not self._certain or now - self._last >= PRESENT_S:
             return False
-        return sequence > FIRST_CALLS or connections > 0
+        return sequence > MAX_INITIAL_SEQUENCE or connections > 0
 
 
-def _name(target: str, began_ms: int) -> str:
+def _incarnation_name(target: str, start_ms: int) -> str:
     """Return the incarnation of a target that began at a Unix time in ms."""
-    return f"{target}{LIFE_MARK}{began_ms}"
+    return f"{target}{LIFE_MARK}{start_ms}"
--- a/packages/coordination/src/pearward_coordination/key_load.py
+++ b/packages/coordination/src/pearward_coordination/key_load.py
@@ -10,7 +10,7 @@
 
 __all__ = ["RECENT_S", "KeyCount", "KeyCounter", "KeyLoadTable", "KeyRate"]
 
-MOST_ROWS = 64
+MAX_ROWS = 64
 """Rows of one report at most: an owner gets some twenty requests between two reports."""
 WINDOW_S = 3.0
 """Seconds over which requests are averaged: a hundred requests of a usual owner, which
@@ -21,13 +21,13 @@
 """Weight in requests below which nothing is known of the present load."""
 REPORT_S = 0.4
 """Seconds that a first report stands for."""
-FORGOTTEN = 0.02
+MIN_KEY_WEIGHT = 0.02
 """Weight in requests below which a key is forgotten."""
-LEAST_SEEN_S = 0.2
+MIN_SEEN_S = 0.2
 """Seconds of requests that a rate stands for at least: fewer tell chance."""
-MOST_EXPONENT = 30.0
+RESCALE_EXPONENT = 30.0
 """Windows after which all weights are written anew: once in 90 s, far from a float's limit."""
-LARGEST_EXPONENT = 700.0
+UNDERFLOW_EXPONENT = 700.0
 """Exponent beyond which a float is zero."""
 
 
@@ -62,7 +62,7 @@
         """Return what was counted since the last call, neighbours joined where it is much."""
         counts, self._counts = self._counts, {}
         keys = sorted(counts)
-        join = -(-len(keys) // MOST_ROWS)
+        join = -(-len(keys) // MAX_ROWS)
         groups = [keys[start : start + join] for start in range(0, len(keys), join or 1)]
         return tuple(
             KeyCount(group[0], group[-1], sum(counts[key] for key in group)) for group in groups
@@ -114,17 +114,17 @@
 
     def rate(self, now: float) -> float:
         """Return the requests a second for all keys together."""
-        return self._total / self._scale(now) / max(self.seen_s(now), LEAST_SEEN_S)
+        return self._total / self._scale(now) / max(self.seen_s(now), MIN_SEEN_S)
 
     def rates(self, now: float) -> tuple[KeyRate, ...]:
         """Return requests a second by key, in the order of the keys."""
-        least = FORGOTTEN * self._scale(now)
+        least = MIN_KEY_WEIGHT * self._scale(now)
         if any(weight <= least for weight in self._weights.values()):
             self._replace(
                 {key: weight for key, weight in self._weights.items() if weight > least},
                 self._landmark,
             )
-        factor = 1.0 / (self._scale(now) * max(self.seen_s(now), LEAST_SEEN_S))
+        factor = 1.0 / (self._scale(now) * max(self.seen_s(now), MIN_SEEN_S))
         weights = self._weights
         return tuple([KeyRate(key, weights[key] * factor) for key in sorted(weights)])
 
@@ -134,8 +134,8 @@
         The landmark follows before the weights outgrow a float.
         """
         exponent = (now - self._landmark) / self._window_s
-        if exponent > MOST_EXPONENT:
-            factor = exp(-min(exponent, LARGEST_EXPONENT))
+        if exponent > RESCALE_EXPONENT:
+            factor = exp(-min(exponent, UNDERFLOW_EXPONENT))
             self._replace({key: w * factor for key, w in self._weights.items()}, now)
             return 1.0
         return exp(exponent)
--- a/packages/coordination/src/pearward_coordination/key_pieces.py
+++ b/packages/coordination/src/pearward_coordination/key_pieces.py
@@ -1,7 +1,7 @@
-"""Parts of a key map's ranges that can change hands, and the map that they make up.
+"""Segments of a key map's ranges, the units that change owner, and the map built from them.
 
-A range is cut where its load is, one key is never cut. Pieces change their owners while a
-plan is made; the next map has them as ranges again, with the former owners named. No I/O.
+Ranges are cut by load, but never within one key. A plan assigns owners to segments; the next map
+joins them to ranges again and records the former owners as predecessors. No I/O.
 """
 
 from collections.abc import Mapping, Sequence
@@ -15,13 +15,13 @@
 
 __all__ = [
     "KeyOwner",
-    "Piece",
-    "cut_pieces",
-    "map_of_pieces",
+    "Segment",
+    "cut_segments",
+    "map_of_segments",
     "merged",
     "rates_by_owner",
     "split_large",
-    "split_piece",
+    "split_segment",
 ]
 
 
@@ -31,11 +31,11 @@
 
     target: str
     capacity: float
-    """Requests a second that it can run: slots over mean time of one."""
+    """Requests per second that it can run: slots divided by the mean running time."""
     confirmed: tuple[HeldRow, ...] = ()
-    """Keys that it was granted, by a map of the present era of the store."""
+    """Keys that it was granted under a map of the store's present era."""
     reported: bool = False
-    """Whether it has reported by such a map."""
+    """Whether it has sent a report based on such a map."""
 
     def was_granted(self, key_range: KeyRange) -> bool:
         """Return whether the target holds, or held, a range under its present fence."""
@@ -44,8 +44,8 @@
 
 
 @dataclass(slots=True)
-class Piece:
-    """Part of a range that can change hands."""
+class Segment:
+    """Part of a range that can change owner as a unit."""
 
     range: KeyRange
     first: int
@@ -54,32 +54,32 @@
     owner: str
 
 
-def cut_pieces(
-    key_map: KeyMap, rates: Sequence[KeyRate], least: float, most_pieces: int
-) -> list[Piece]:
-    """Cut all ranges into pieces of about *least* requests a second; one key is never cut.
+def cut_segments(
+    key_map: KeyMap, rates: Sequence[KeyRate], min_rate: float, max_segments: int
+) -> list[Segment]:
+    """Cut all ranges into segments of about *min_rate* requests per second, never within one key.
 
-    Pieces of an owner with very many requests are larger, so that a few moves help it.
+    Segments of an owner with a very high rate are larger, so that a few moves relieve it.
     """
     by_owner = rates_by_owner(key_map, rates)
-    pieces: list[Piece] = []
+    segments: list[Segment] = []
     at = 0
     for r in key_map.ranges:
-        most = max(least, by_owner[r.owner] / most_pieces)
+        max_rate = max(min_rate, by_owner[r.owner] / max_segments)
         start, rate = r.first, 0.0
         while at < len(rates) and rates[at].key <= r.last:
             row = rates[at]
-            if rate > 0.0 and rate + row.rate > most:
-                pieces.append(Piece(r, start, row.key - 1, rate, r.owner))
+            if rate > 0.0 and rate + row.rate > max_rate:
+                segments.append(Segment(r, start, row.key - 1, rate, r.owner))
                 start, rate = row.key, 0.0
             rate += row.rate
             at += 1
-        pieces.append(Piece(r, start, r.last, rate, r.owner))
-    return pieces
+        segments.append(Segment(r, start, r.last, rate, r.owner))
+    return segments
 
 
 def rates_by_owner(key_map: KeyMap, rates: Sequence[KeyRate]) -> dict[str, float]:
-    """Return the requests a second for the keys of each owner."""
+    """Return the requests per second for the keys of each owner."""
     result = {r.owner: 0.0 for r in key_map.ranges}
     at = 0
     for r in key_map.ranges:
@@ -89,71 +89,71 @@
     return result
 
 
-def split_large(orphans: list[Piece], pieces: list[Piece], parts: int) -> list[Piece]:
-    """Cut pieces without a measured load so that several targets can share them."""
-    result: list[Piece] = []
-    for piece in orphans:
-        size = piece.last - piece.first + 1
-        count = min(parts, size // 256) if piece.rate == 0.0 else 1
+def split_large(unowned: list[Segment], segments: list[Segment], parts: int) -> list[Segment]:
+    """Cut segments without measured load so that several targets can share them."""
+    result: list[Segment] = []
+    for segment in unowned:
+        size = segment.last - segment.first + 1
+        count = min(parts, size // 256) if segment.rate == 0.0 else 1
         if count <= 1:
-            result.append(piece)
+            result.append(segment)
             continue
-        pieces.remove(piece)
+        segments.remove(segment)
         step = -(-size // count)
-        for first in range(piece.first, piece.last + 1, step):
-            last = min(first + step - 1, piece.last)
-            part = Piece(piece.range, first, last, 0.0, piece.owner)
-            pieces.append(part)
+        for first in range(segment.first, segment.last + 1, step):
+            last = min(first + step - 1, segment.last)
+            part = Segment(segment.range, first, last, 0.0, segment.owner)
+            segments.append(part)
             result.append(part)
-    pieces.sort(key=lambda p: p.first)
+    segments.sort(key=lambda p: p.first)
     return result
 
 
-def split_piece(pieces: list[Piece], piece: Piece, size: int) -> None:
-    """Cut a piece without load after *size* keys; the rest becomes a piece of its own."""
-    if not 0 < size < piece.last - piece.first + 1:
+def split_segment(segments: list[Segment], segment: Segment, size: int) -> None:
+    """Cut a segment without load after *size* keys; the rest becomes a segment of its own."""
+    if not 0 < size < segment.last - segment.first + 1:
         return
-    rest = Piece(piece.range, piece.first + size, piece.last, 0.0, piece.owner)
-    piece.last = piece.first + size - 1
-    pieces.insert(pieces.index(piece) + 1, rest)
+    rest = Segment(segment.range, segment.first + size, segment.last, 0.0, segment.owner)
+    segment.last = segment.first + size - 1
+    segments.insert(segments.index(segment) + 1, rest)
 
 
-def map_of_pieces(
+def map_of_segments(
     key_map: KeyMap,
-    pieces: list[Piece],
+    segments: list[Segment],
     by_target: Mapping[str, KeyOwner],
     ended: frozenset[str],
 ) -> KeyMap:
-    """Return the next version with the pieces' owners."""
-    # One above the map's own would be a fence that was given before, where the store lost that.
+    """Return the next version of the map, with the owners of the segments."""
+    # Incrementing the map's own fence could repeat a fence of a map that the store has lost.
     fence = next_number(key_map.fence, key_map.era)
     ranges: list[KeyRange] = []
-    for piece in pieces:
-        old = piece.range
-        if piece.owner == old.owner:
+    for segment in segments:
+        old = segment.range
+        if segment.owner == old.owner:
             kept = tuple(p for p in old.predecessors if p.target not in ended)
-            ranges.append(replace(old, first=piece.first, last=piece.last, predecessors=kept))
+            ranges.append(replace(old, first=segment.first, last=segment.last, predecessors=kept))
             continue
         before = _predecessors(old, by_target, ended)
-        ranges.append(KeyRange(piece.first, piece.last, piece.owner, fence, before))
+        ranges.append(KeyRange(segment.first, segment.last, segment.owner, fence, before))
     return replace(key_map, version=key_map.version + 1, ranges=merged(tuple(ranges)), fence=fence)
 
 
 def _predecessors(
     old: KeyRange, by_target: Mapping[str, KeyOwner], ended: frozenset[str]
 ) -> tuple[Predecessor, ...]:
-    """Return who may still hold keys of a range that changes hands."""
+    """Return the targets that may still hold keys of a range that changes owner."""
     owner = by_target.get(old.owner)
-    begun = owner is not None and owner.was_granted(old)
-    # An owner that was granted the range shows that all before it had let go.
-    before = () if begun else old.predecessors
+    granted = owner is not None and owner.was_granted(old)
+    # A grant to the owner proves that all earlier holders had released the range.
+    before = () if granted else old.predecessors
     if old.owner:
         before = (*before, Predecessor(old.owner, old.fence))
     return tuple(p for p in before if p.target not in ended)
 
 
 def merged(ranges: Sequence[KeyRange]) -> tuple[KeyRange, ...]:
-    """Join neighbours that differ in nothing but their keys."""
+    """Join adjacent ranges that differ only in their keys."""
     result: list[KeyRange] = []
     for r in ranges:
         last = result[-1] if result else None
--- a/packages/coordination/src/pearward_coordination/keyplan.py
+++ b/packages/coordination/src/pearward_coordination/keyplan.py
@@ -1,8 +1,8 @@
-"""Which target is to own which keys: sizing by measured load, moving as little as helps.
+"""Plan which target owns which keys, by measured load and with few moves.
 
-Works on whole key maps: from the present map, the targets that can own keys, and the
-load that their daemons measured, it makes the next map, or none where nothing is gained.
-No I/O; the caller writes the result by compare-and-swap.
+Works on whole key maps: from the present map, the targets that can own keys, and the load that
+their daemons measured, it computes the next map, or none if a new map would gain nothing. No I/O;
+the caller writes the result by compare-and-swap.
 """
 
 from collections.abc import Iterable, Mapping, Sequence
@@ -14,13 +14,13 @@
 from .key_load import KeyRate
 from .key_pieces import (
     KeyOwner,
-    Piece,
-    cut_pieces,
-    map_of_pieces,
+    Segment,
+    cut_segments,
+    map_of_segments,
     merged,
     rates_by_owner,
     split_large,
-    split_piece,
+    split_segment,
 )
 
 __all__ = [
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannedLoad:
-    """Requests a second by key, and for how many seconds they were seen."""
+    """Requests per second by key, and the seconds of observation behind them."""
 
     rates: tuple[KeyRate, ...] = ()
     seen_s: float = 0.0
@@ -43,45 +43,51 @@
 
 @dataclass(frozen=True, slots=True)
 class PlanLimits:
-    """When a move is worth what it costs: the keys rest for some tenths of a second."""
+    """Thresholds for moving keys; a moved key is not served for some tenths of a second."""
 
     tolerance: float = 0.15
-    """Utilisation above the mean that is put up with; a queue forms well above 0.85."""
-    idle: float = 0.5
-    """Utilisation under which no imbalance is worth a move: hardly anybody waits there."""
-    certainty: float = 2.0
-    """Standard deviations by which an owner's count must be over its share: a few requests
-    more than usual are chance, and each move costs the keys a pause."""
+    """Tolerated utilisation above the mean; queues form well above a utilisation of 0.85."""
+    idle_utilisation: float = 0.5
+    """Utilisation below which an imbalance does not justify a move, as hardly any request waits."""
+    significance: float = 2.0
+    """Standard deviations by which an owner's request count must exceed its share: a small excess
+    is random variation, and each move interrupts service for the keys."""
     moves: int = 24
-    """Pieces that change hands in one plan, at most; more where there are many owners."""
+    """Maximum number of segments that change owner in one plan; more if there are many owners."""
     moves_per_owner: int = 4
-    """The same for each owner: a hot owner's load is to be spread over all others at once."""
-    pieces: int = 24
-    """Pieces that an owner's share of the load is cut into."""
-    most_pieces: int = 128
-    """Pieces that one owner's load is cut into, at most, however much it is."""
-    too_much: float = 1.25
-    """What one key asks for, over its owner's capacity, from which a faster owner is sought:
-    it rests for half a second, which a hot time of some four seconds has to make up for."""
+    """The same limit per owner: a hot owner's load has to spread over all others in one plan."""
+    segments: int = 24
+    """Number of segments that an owner's share of the load is cut into."""
+    max_segments: int = 128
+    """Maximum number of segments that one owner's load is cut into, however high the load is."""
+    overload_ratio: float = 1.25
+    """Ratio of one key's request rate to its owner's capacity above which a faster owner is sought.
+    The move interrupts service for half a second, which has to pay off within a hot period of about
+    four seconds."""
     surge: float = 1.5
-    """An owner's recent load over its usual one from which the usual one tells nothing."""
-    surge_certainty: float = 4.0
-    """Standard deviations by which it must be more: every owner is looked at five times a
-    second, and a false alarm costs what was known of all owners' load."""
+    """Ratio of an owner's recent load to its usual load above which the usual load is
+    disregarded."""
+    surge_significance: float = 4.0
+    """Standard deviations by which the recent load must be higher: every owner is checked five
+    times a second, and a false alarm discards the load history of all owners."""
     heavy_keys: int = 4
-    """Keys that are looked at for that, at most: hot ones follow one another in seconds."""
-    faster: float = 1.3
-    """How much more that owner must be able to run; speeds are known to a tenth."""
+    """Maximum number of overloaded keys considered per plan: hot keys follow one another within
+    seconds."""
+    min_speedup: float = 1.3
+    """Minimum ratio of the new owner's capacity to the present one's; capacities are accurate to a
+    tenth."""
 
 
 def first_map(service: str, owners: Sequence[KeyOwner], era: int = 0) -> KeyMap:
     """Return the first map: consecutive keys by capacity, numbered in an era of the store."""
     number = next_number(0, era)
-    ranges = _dealt(0, KEY_SPACE - 1, owners, fence=number)
+    ranges = _divide_by_capacity(0, KEY_SPACE - 1, owners, fence=number)
     return KeyMap(service, number, tuple(ranges), number)
 
 
-def _dealt(first: int, last: int, owners: Sequence[KeyOwner], fence: int) -> list[KeyRange]:
+def _divide_by_capacity(
+    first: int, last: int, owners: Sequence[KeyOwner], fence: int
+) -> list[KeyRange]:
     """Divide consecutive keys among *owners* by capacity."""
     total = sum(o.capacity for o in owners) or 1.0
     ranges: list[KeyRange] = []
@@ -99,12 +105,12 @@
 
 
 def without_targets(key_map: KeyMap, ended: Iterable[str]) -> KeyMap | None:
-    """Return the map without the ended predecessors that nobody needs to wait for."""
-    gone = frozenset(ended)
-    if not any(p.target in gone for r in key_map.ranges for p in r.predecessors):
+    """Return the map without predecessors that have ended, or None if it has none of them."""
+    removed = frozenset(ended)
+    if not any(p.target in removed for r in key_map.ranges for p in r.predecessors):
         return None
     ranges = tuple(
-        replace(r, predecessors=tuple(p for p in r.predecessors if p.target not in gone))
+        replace(r, predecessors=tuple(p for p in r.predecessors if p.target not in removed))
         for r in key_map.ranges
     )
     return replace(key_map, version=key_map.version + 1, ranges=merged(ranges))
@@ -118,38 +124,38 @@
     limits: PlanLimits,
     fixed: frozenset[str] = frozenset(),
 ) -> KeyMap | None:
-    """Return the next map, or None where the present one is good enough.
+    """Return the next map, or None if the present one is good enough.
 
-    Keys of a target that is not among *owners* go to those that have room, whatever the
-    limits say. *ended* names targets that surely hold nothing any more, *fixed* those
-    that keep what they have and get nothing.
+    Keys of a target that is not among *owners* go to owners with free capacity, regardless of the
+    limits. *ended* names targets that certainly hold nothing any more, *fixed* targets that keep
+    their keys and receive none.
     """
     if not owners:
         return None
     by_target = {owner.target: owner for owner in owners}
-    least = sum(row.rate for row in load.rates) / (len(owners) * limits.pieces)
-    pieces = cut_pieces(key_map, load.rates, least, limits.most_pieces)
+    min_rate = sum(row.rate for row in load.rates) / (len(owners) * limits.segments)
+    segments = cut_segments(key_map, load.rates, min_rate, limits.max_segments)
     rates = {owner.target: 0.0 for owner in owners}
-    for piece in pieces:
-        if piece.owner in rates:
-            rates[piece.owner] += piece.rate
-    moved = _place_orphans(pieces, by_target, rates, fixed)
-    moved = _place_heaviest(pieces, by_target, rates, limits) or moved
-    moved = _level(pieces, by_target, rates, load.seen_s, limits) or moved
-    moved = _give_newcomers(pieces, by_target, rates) or moved
+    for segment in segments:
+        if segment.owner in rates:
+            rates[segment.owner] += segment.rate
+    moved = _place_unowned(segments, by_target, rates, fixed)
+    moved = _place_heaviest(segments, by_target, rates, limits) or moved
+    moved = _level_load(segments, by_target, rates, load.seen_s, limits) or moved
+    moved = _give_new_targets(segments, by_target, rates) or moved
     if not moved:
         return None
-    return map_of_pieces(key_map, pieces, by_target, ended)
+    return map_of_segments(key_map, segments, by_target, ended)
 
 
 def has_surged(
     key_map: KeyMap, recent: PlannedLoad, usual: PlannedLoad, limits: PlanLimits
 ) -> bool:
-    """Return whether some owner's recent load is surely far above its usual one."""
+    """Return whether some owner's recent load is significantly above its usual load."""
     before = rates_by_owner(key_map, usual.rates)
     for owner, rate in rates_by_owner(key_map, recent.rates).items():
         excess = (rate - before[owner]) * recent.seen_s
-        certain = excess > limits.surge_certainty * float((rate * recent.seen_s) ** 0.5)
+        certain = excess > limits.surge_significance * float((rate * recent.seen_s) ** 0.5)
         if certain and rate > before[owner] * limits.surge:
             return True
     return False
@@ -159,168 +165,169 @@
     return rates[target] / max(by_target[target].capacity, 1e-6)
 
 
-def _place_orphans(
-    pieces: list[Piece],
+def _place_unowned(
+    segments: list[Segment],
     by_target: Mapping[str, KeyOwner],
     rates: dict[str, float],
     fixed: frozenset[str],
 ) -> bool:
-    """Give the keys of targets that cannot own any more to the least used ones."""
-    orphans = [p for p in pieces if p.owner not in by_target and p.owner not in fixed]
-    if not orphans:
+    """Assign the keys of targets that can no longer own any to the least used targets."""
+    unowned = [p for p in segments if p.owner not in by_target and p.owner not in fixed]
+    if not unowned:
         return False
-    # Where nothing was measured, keys stand for load, at the others' mean rate a key.
-    known = sum(p.rate for p in pieces)
-    keys = sum(p.last - p.first + 1 for p in pieces if p.owner in by_target) or KEY_SPACE
-    a_key = max(known, 1.0) / keys
-    for piece in split_large(orphans, pieces, len(by_target)):
-        if piece.rate == 0.0:
-            piece.rate = a_key * (piece.last - piece.first + 1)
+    # Without measurements the number of keys stands for load, at the mean rate of other keys.
+    known = sum(p.rate for p in segments)
+    keys = sum(p.last - p.first + 1 for p in segments if p.owner in by_target) or KEY_SPACE
+    rate_per_key = max(known, 1.0) / keys
+    for segment in split_large(unowned, segments, len(by_target)):
+        if segment.rate == 0.0:
+            segment.rate = rate_per_key * (segment.last - segment.first + 1)
         target = min(
             by_target,
-            key=lambda t: (rates[t] + piece.rate) / max(by_target[t].capacity, 1e-6),
+            key=lambda t: (rates[t] + segment.rate) / max(by_target[t].capacity, 1e-6),
         )
-        piece.owner = target
-        rates[target] += piece.rate
+        segment.owner = target
+        rates[target] += segment.rate
     return True
 
 
 def _place_heaviest(
-    pieces: list[Piece],
+    segments: list[Segment],
     by_target: Mapping[str, KeyOwner],
     rates: dict[str, float],
     limits: PlanLimits,
 ) -> bool:
-    """Give keys that ask for more than their owners can run to the fastest owners.
+    """Move keys whose request rate exceeds their owner's capacity to the fastest owners.
 
-    A key cannot be shared, so nothing else helps it; what the fastest owners had goes
-    elsewhere when the rest is levelled. The heaviest keys choose first, each an owner of
-    its own: one that has cooled down may still look heavier than one that is hot now.
+    A key cannot be shared, so only a faster owner can serve it; the remaining load of that owner is
+    levelled afterwards. The heaviest keys are placed first, each at an owner of its own, because a
+    key that has cooled down may still appear heavier than one that is hot now.
     """
     heavy = [
-        piece
-        for piece in pieces
-        if piece.owner in by_target
-        and piece.rate > by_target[piece.owner].capacity * limits.too_much
+        segment
+        for segment in segments
+        if segment.owner in by_target
+        and segment.rate > by_target[segment.owner].capacity * limits.overload_ratio
     ]
-    heavy.sort(key=lambda piece: -piece.rate)
+    heavy.sort(key=lambda segment: -segment.rate)
     free = dict(by_target)
     moved = False
-    for piece in heavy[: limits.heavy_keys]:
+    for segment in heavy[: limits.heavy_keys]:
         fastest = max(free.values(), key=lambda o: o.capacity)
-        present = free.get(piece.owner)
-        if present is not None and fastest.capacity < present.capacity * limits.faster:
+        present = free.get(segment.owner)
+        if present is not None and fastest.capacity < present.capacity * limits.min_speedup:
             fastest = present
         del free[fastest.target]
-        if fastest.target != piece.owner:
-            rates[piece.owner] -= piece.rate
-            rates[fastest.target] += piece.rate
-            piece.owner = fastest.target
+        if fastest.target != segment.owner:
+            rates[segment.owner] -= segment.rate
+            rates[fastest.target] += segment.rate
+            segment.owner = fastest.target
             moved = True
         if not free:
             break
     return moved
 
 
-def _level(
-    pieces: list[Piece],
+def _level_load(
+    segments: list[Segment],
     by_target: Mapping[str, KeyOwner],
     rates: dict[str, float],
     seen_s: float,
     limits: PlanLimits,
 ) -> bool:
-    """Move pieces from the busiest targets to the least used ones; return whether any moved."""
+    """Move segments from the busiest to the least used targets; return whether any moved."""
     mean = sum(rates.values()) / max(sum(o.capacity for o in by_target.values()), 1e-6)
 
     def used(target: str) -> float:
         return _utilisation(target, by_target, rates)
 
-    def uneven(target: str) -> bool:
-        """Whether a target has surely more than its share, and so much that others wait."""
-        if used(target) <= max(mean + limits.tolerance, limits.idle):
+    def is_overloaded(target: str) -> bool:
+        """Return whether a target's excess load is significant and high enough to cause
+        queueing."""
+        if used(target) <= max(mean + limits.tolerance, limits.idle_utilisation):
             return False
         excess = (rates[target] - mean * by_target[target].capacity) * seen_s
-        return excess > limits.certainty * float((rates[target] * seen_s) ** 0.5)
+        return excess > limits.significance * float((rates[target] * seen_s) ** 0.5)
 
-    donors = {target for target in rates if uneven(target)}
+    donors = {target for target in rates if is_overloaded(target)}
     if not donors:
         return False
-    by_owner: dict[str, list[Piece]] = {target: [] for target in by_target}
-    for piece in pieces:
-        if piece.owner in by_owner:
-            by_owner[piece.owner].append(piece)
+    by_owner: dict[str, list[Segment]] = {target: [] for target in by_target}
+    for segment in segments:
+        if segment.owner in by_owner:
+            by_owner[segment.owner].append(segment)
     for own in by_owner.values():
         own.sort(key=lambda p: -p.rate)
     moved = 0
     most_moves = max(limits.moves, limits.moves_per_owner * len(by_target))
     while moved < most_moves and donors:
         busiest = max(donors, key=used)
-        idlest = min(rates, key=used)
+        least_used = min(rates, key=used)
         excess = rates[busiest] - mean * by_target[busiest].capacity
-        room = mean * by_target[idlest].capacity - rates[idlest]
+        spare_rate = mean * by_target[least_used].capacity - rates[least_used]
         if used(busiest) - mean <= limits.tolerance / 3:
             donors.discard(busiest)
             continue
-        fitting = _best_fit(by_owner[busiest], min(excess, room))
+        fitting = _best_fit(by_owner[busiest], min(excess, spare_rate))
         if fitting is None:
-            # What it has left are keys that are too heavy for anybody.
+            # The remaining keys of this owner are too heavy for any other.
             donors.discard(busiest)
             continue
         by_owner[busiest].remove(fitting)
-        by_owner[idlest].append(fitting)
-        fitting.owner = idlest
+        by_owner[least_used].append(fitting)
+        fitting.owner = least_used
         rates[busiest] -= fitting.rate
-        rates[idlest] += fitting.rate
+        rates[least_used] += fitting.rate
         moved += 1
     return moved > 0
 
 
-def _give_newcomers(
-    pieces: list[Piece], by_target: Mapping[str, KeyOwner], rates: dict[str, float]
+def _give_new_targets(
+    segments: list[Segment], by_target: Mapping[str, KeyOwner], rates: dict[str, float]
 ) -> bool:
     """Give a share of the keys to each owner that has none, however small the load is."""
-    owning = {piece.owner for piece in pieces}
-    newcomers = [target for target in by_target if target not in owning]
-    for target in newcomers:
-        _give_share(pieces, by_target, rates, target)
-    return bool(newcomers)
+    owning = {segment.owner for segment in segments}
+    new_targets = [target for target in by_target if target not in owning]
+    for target in new_targets:
+        _give_share(segments, by_target, rates, target)
+    return bool(new_targets)
 
 
 def _give_share(
-    pieces: list[Piece],
+    segments: list[Segment],
     by_target: Mapping[str, KeyOwner],
     rates: dict[str, float],
     target: str,
 ) -> None:
-    """Move about its part of keys, or of the load, from the owner with the most keys."""
+    """Move a fair share of keys or load to *target* from the owner with the most keys."""
     keys = dict.fromkeys(by_target, 0)
-    for piece in pieces:
-        if piece.owner in keys:
-            keys[piece.owner] += piece.last - piece.first + 1
+    for segment in segments:
+        if segment.owner in keys:
+            keys[segment.owner] += segment.last - segment.first + 1
     donor = max(keys, key=lambda t: keys[t])
     wanted_keys = min(KEY_SPACE // len(by_target), keys[donor] // 2)
     share = sum(rates.values()) / len(by_target)
     wanted_rate = min(share, rates[donor] / 2, by_target[target].capacity)
     got_keys, got_rate = 0, 0.0
-    for piece in [p for p in pieces if p.owner == donor]:
-        size = piece.last - piece.first + 1
-        if got_keys + size > wanted_keys and piece.rate == 0.0:
+    for segment in [p for p in segments if p.owner == donor]:
+        size = segment.last - segment.first + 1
+        if got_keys + size > wanted_keys and segment.rate == 0.0:
             size = wanted_keys - got_keys
-            split_piece(pieces, piece, size)
-        if size <= 0 or got_rate + piece.rate > wanted_rate + 1e-9:
+            split_segment(segments, segment, size)
+        if size <= 0 or got_rate + segment.rate > wanted_rate + 1e-9:
             break
-        piece.owner = target
+        segment.owner = target
         got_keys += size
-        got_rate += piece.rate
-        rates[donor] -= piece.rate
-        rates[target] += piece.rate
+        got_rate += segment.rate
+        rates[donor] -= segment.rate
+        rates[target] += segment.rate
         if got_keys >= wanted_keys:
             break
 
 
-def _best_fit(own: list[Piece], amount: float) -> Piece | None:
-    """Return the heaviest piece that does not turn the imbalance round."""
-    for piece in own:
-        if 0.0 < piece.rate <= amount * 1.15:
-            return piece
+def _best_fit(own: list[Segment], amount: float) -> Segment | None:
+    """Return the heaviest segment that does not reverse the imbalance."""
+    for segment in own:
+        if 0.0 < segment.rate <= amount * 1.15:
+            return segment
     return None
--- a/packages/coordination/src/pearward_coordination/load_watch.py
+++ b/packages/coordination/src/pearward_coordination/load_watch.py
@@ -32,7 +32,7 @@
         self._limits = limits
         self._usual = KeyLoadTable()
         self._recent = KeyLoadTable(RECENT_S)
-        self._looked_at = NEVER
+        self._checked_at = NEVER
         self._moved_at = NEVER
         self._surged_at = NEVER
 
@@ -48,7 +48,7 @@
 
     def is_due(self, now: float) -> bool:
         """Return whether something new may have been learned since the last look."""
-        return now - self._looked_at >= LOOK_INTERVAL_S
+        return now - self._checked_at >= LOOK_INTERVAL_S
 
     def may_move(self, now: float) -> bool:
         """Return whether keys may move again for the sake of an even load."""
@@ -61,7 +61,7 @@
 
     def look(self, key_map: KeyMap, now: float) -> tuple[PlannedLoad, bool]:
         """Return the load to plan by, and whether it has just changed suddenly."""
-        self._looked_at = now
+        self._checked_at = now
         usual = PlannedLoad(self._usual.rates(now), self._usual.seen_s(now))
         recent = PlannedLoad(self._recent.rates(now), self._recent.seen_s(now))
         if not has_surged(key_map, recent, usual, self._limits):
--- a/packages/coordination/src/pearward_coordination/overload/key_gap.py
+++ b/packages/coordination/src/pearward_coordination/overload/key_gap.py
@@ -12,11 +12,11 @@
 
 __all__ = ["KeyGap"]
 
-FIRST_GUESS_S = 0.5
+INITIAL_MEAN_S = 0.5
 """Seconds that a key is expected to rest before any hand-over was seen."""
-WEIGHT = 0.2
+MEAN_WEIGHT = 0.2
 """Weight of the newest hand-over in the mean: five of them show a change of the load."""
-LEAST_S = 0.05
+MIN_REMAINING_S = 0.05
 """Seconds for which a key is expected to rest on when it has rested longer than usual."""
 RUN_MARGIN = 1.2
 """Running times, over the mean, that must fit between the key's arrival and the deadline."""
@@ -28,7 +28,7 @@
     """The hand-overs of keys to one target."""
 
     def __init__(self) -> None:
-        self._mean_s = FIRST_GUESS_S
+        self._mean_s = INITIAL_MEAN_S
         self._since: float | None = None
 
     @property
@@ -46,15 +46,15 @@
         if self._since is None:
             return None
         waited_s = now - self._since
-        self._mean_s += WEIGHT * (waited_s - self._mean_s)
+        self._mean_s += MEAN_WEIGHT * (waited_s - self._mean_s)
         self._since = None
         return waited_s
 
     def left_s(self, now: float) -> float:
         """Return the seconds that keys are expected to rest on."""
         if self._since is None:
-            return LEAST_S
-        overdue_s = max(LEAST_S, self._mean_s * OVERDUE_SHARE)
+            return MIN_REMAINING_S
+        overdue_s = max(MIN_REMAINING_S, self._mean_s * OVERDUE_SHARE)
         return max(overdue_s, self._mean_s - (now - self._since))
 
     def patience_s(self, deadline_left_s: float, runs_s: float, now: float) -> float:
--- a/packages/coordination/src/pearward_coordination/overload/key_shedding.py
+++ b/packages/coordination/src/pearward_coordination/overload/key_shedding.py
@@ -29,24 +29,24 @@
 SENT_PER_SERVED = 1.5
 """Requests that are sent on for each that was served: the owner sees half more than it can run, so
 that it is never idle for want of requests, and one that can run more shows it."""
-FREE = 1.0
+FREE_REFUSALS = 1.0
 """Refusals that chance brings to any key: they are no reason to refuse more. Each one allows a
 daemon a request in two seconds, which a fleet has to be able to send."""
-FORGOTTEN = 0.2
+MIN_WEIGHT = 0.2
 """Weight of all requests for a key below which nothing is known of it."""
 KEPT = 256
 """Keys that are known, at most: few are hot at one time."""
 
 
 @dataclass(slots=True)
-class _Seen:
+class _KeyHistory:
     """What became of the requests for one key, fading."""
 
     asked: float
     served: float
     at: float
 
-    def fade(self, now: float) -> None:
+    def decay(self, now: float) -> None:
         """Let what is old weigh less."""
         factor = 0.5 ** ((now - self.at) / HALF_LIFE_S)
         self.asked *= factor
@@ -59,20 +59,20 @@
 
     def __init__(self, rng: Random) -> None:
         self._rng = rng
-        self._seen: dict[tuple[str, int], _Seen] = {}
+        self._seen: dict[tuple[str, int], _KeyHistory] = {}
 
     def sheds(self, service: str, key: int, now: float) -> bool:
         """Decide whether a request is refused here; its caller may come back in BACK_AFTER_S."""
-        seen = self._seen.get((service, key))
-        if seen is None:
+        history = self._seen.get((service, key))
+        if history is None:
             return False
-        seen.fade(now)
-        if seen.asked < FORGOTTEN:
+        history.decay(now)
+        if history.asked < MIN_WEIGHT:
             del self._seen[service, key]
             return False
-        too_many = seen.asked - seen.served * SENT_PER_SERVED - FREE
-        odds = max(0.0, too_many / (seen.asked + 1.0))
-        seen.asked += 1.0
+        too_many = history.asked - history.served * SENT_PER_SERVED - FREE_REFUSALS
+        odds = max(0.0, too_many / (history.asked + 1.0))
+        history.asked += 1.0
         return self._rng.random() < odds
 
     def refused(self, service: str, key: int, now: float) -> None:
@@ -80,16 +80,16 @@
         if (service, key) in self._seen:
             return
         if len(self._seen) >= KEPT:
-            self._forget_oldest()
-        self._seen[service, key] = _Seen(1.0, 0.0, now)
+            self._drop_oldest()
+        self._seen[service, key] = _KeyHistory(1.0, 0.0, now)
 
     def served(self, service: str, key: int, now: float) -> None:
         """The owner has run a request."""
-        seen = self._seen.get((service, key))
-        if seen is not None:
-            seen.fade(now)
-            seen.served += 1.0
+        history = self._seen.get((service, key))
+        if history is not None:
+            history.decay(now)
+            history.served += 1.0
 
-    def _forget_oldest(self) -> None:
+    def _drop_oldest(self) -> None:
         oldest = min(self._seen, key=lambda each: self._seen[each].at)
         del self._seen[oldest]
--- a/packages/coordination/src/pearward_coordination/overload/policy.py
+++ b/packages/coordination/src/pearward_coordination/overload/policy.py
@@ -11,7 +11,7 @@
 
     RETURNS_IN_TIME = "returns-in-time"
     """Refused callers come back soon enough for the objective."""
-    BURST_PATIENCE = "burst-patience"
+    BURST_WAIT = "burst-patience"
     """A queue that has not stood for long may be waited in for longer."""
     AGED_RETURNS = "aged-returns"
     """A return's objective runs from its caller's first try."""
--- a/packages/coordination/src/pearward_coordination/overload/returns.py
+++ b/packages/coordination/src/pearward_coordination/overload/returns.py
@@ -10,17 +10,17 @@
 
 __all__ = ["TurnedAway", "UsualDeadline", "back_after_s", "usual_back_after_s"]
 
-LEAST_S = 0.04
+MIN_DELAY_S = 0.04
 """Seconds under which coming back is asking again at once: a slot of the targets seen so far
 is given back about every 15 ms, and the way there and back takes 4 ms."""
 IN_TIME_SHARE = 0.7
 """Part of the time in which a return may still be in time; the rest is for jitter. Gain: with
 the ages below, 0.72 of the lookups are in time in place of 0.57 where half of their targets are
 lost (experiment tool, pattern lost, three seeds)."""
-USUAL_S = 0.25
+DEFAULT_DELAY_S = 0.25
 """Seconds after which a full queue is worth asking again where the objective is lost anyway:
 hot keys have moved by then, and bursts of a few requests are over."""
-MOST_S = 2.0
+MAX_DELAY_S = 2.0
 """Callers wait up to a third of the time that they have left, whatever they are told."""
 
 
@@ -28,12 +28,12 @@
 """Seconds for which what callers allow is remembered, and as long again. Gain: where callers
 come back three times, 0.90 of the lookups are in time in place of 0.82 (experiment tool, pattern
 abuse, three seeds)."""
-NEAR = 0.995
+FIRST_TRY_SHARE = 0.995
 """Part of the longest time allowed from which a request counts as a first try: callers that
 are refused come back after 40 ms or more, of 1.5 s allowed."""
-LEAST_COUNTED = 10
+MIN_SAMPLES = 10
 """Requests that must have been seen before the usual time is known."""
-LEAST_NEAR = 0.35
+MIN_FIRST_TRIES = 0.35
 """Part of the requests that must be first tries: each of them returns once at most, and more
 often from few callers. Where less is near the longest, callers simply differ."""
 
@@ -60,14 +60,14 @@
     """
     spare_s = request.objective_left_s - request.patience_s - request.runs_s
     in_time_s = spare_s * IN_TIME_SHARE
-    if in_time_s >= LEAST_S:
+    if in_time_s >= MIN_DELAY_S:
         return in_time_s
     return usual_back_after_s(request.room_in_s)
 
 
 def usual_back_after_s(room_in_s: float) -> float:
     """Return when to come back by the room that is expected alone."""
-    return min(MOST_S, max(USUAL_S, room_in_s))
+    return min(MAX_DELAY_S, max(DEFAULT_DELAY_S, room_in_s))
 
 
 class UsualDeadline:
@@ -82,7 +82,7 @@
         self._longest_s = [0.0, 0.0]
         """In the present window and in the one before."""
         self._counted = [0, 0]
-        self._near = [0, 0]
+        self._first_tries = [0, 0]
 
     def age_s(self, allowed_s: float, now: float) -> float:
         """Count a request that allows *allowed_s* seconds; return its age in seconds."""
@@ -90,22 +90,22 @@
             self._begin_window(now)
         self._count(allowed_s)
         longest_s = max(self._longest_s)
-        counted, near = sum(self._counted), sum(self._near)
-        if counted < LEAST_COUNTED or near < counted * LEAST_NEAR:
+        counted, first_tries = sum(self._counted), sum(self._first_tries)
+        if counted < MIN_SAMPLES or first_tries < counted * MIN_FIRST_TRIES:
             return 0.0
-        return longest_s - allowed_s if allowed_s < longest_s * NEAR else 0.0
+        return longest_s - allowed_s if allowed_s < longest_s * FIRST_TRY_SHARE else 0.0
 
     def _begin_window(self, now: float) -> None:
         old = now - self._since > 2 * WINDOW_S
         self._since = now
         self._longest_s = [0.0, 0.0 if old else self._longest_s[0]]
         self._counted = [0, 0 if old else self._counted[0]]
-        self._near = [0, 0 if old else self._near[0]]
+        self._first_tries = [0, 0 if old else self._first_tries[0]]
 
     def _count(self, allowed_s: float) -> None:
-        if allowed_s * NEAR > max(self._longest_s):
+        if allowed_s * FIRST_TRY_SHARE > max(self._longest_s):
             # Longer than all before: what was near the former longest tells nothing.
-            self._counted, self._near = [0, 0], [0, 0]
+            self._counted, self._first_tries = [0, 0], [0, 0]
         self._longest_s[0] = max(self._longest_s[0], allowed_s)
         self._counted[0] += 1
-        self._near[0] += allowed_s >= max(self._longest_s) * NEAR
+        self._first_tries[0] += allowed_s >= max(self._longest_s) * FIRST_TRY_SHARE
--- a/packages/coordination/src/pearward_coordination/overload/waiting.py
+++ b/packages/coordination/src/pearward_coordination/overload/waiting.py
@@ -10,7 +10,7 @@
 
 from dataclasses import dataclass
 
-__all__ = ["QueueAge", "Waiter", "patience_s"]
+__all__ = ["QueueAge", "WaitingRequest", "patience_s"]
 
 BURST_SLOTS = 6.0
 """Slots that a target gives back while a queue may be continuously taken before it counts as
@@ -24,12 +24,12 @@
 RUN_MARGIN = 1.2
 """Running times of its route, over the mean, that must fit after the wait for a request in
 a burst to be in time: running times vary by half of their mean."""
-MOST_SHARE = 0.6
+MAX_WAIT_SHARE = 0.6
 """Part of the latency objective for which any request waits at most."""
 
 
 @dataclass(frozen=True, slots=True)
-class Waiter:
+class WaitingRequest:
     """A request that has to wait, as far as it concerns its patience."""
 
     objective_s: float
@@ -38,13 +38,13 @@
     """Seconds for which requests of its route run."""
 
 
-def patience_s(waiter: Waiter, *, standing: bool) -> float:
+def patience_s(waiting_request: WaitingRequest, *, standing: bool) -> float:
     """Return the seconds for which a request may wait for a slot."""
-    short_s = max(0.0, waiter.objective_s * STANDING_SHARE)
+    short_s = max(0.0, waiting_request.objective_s * STANDING_SHARE)
     if standing:
         return short_s
-    in_time_s = waiter.objective_s - waiter.runs_s * RUN_MARGIN
-    return max(short_s, min(in_time_s, waiter.objective_s * MOST_SHARE))
+    in_time_s = waiting_request.objective_s - waiting_request.runs_s * RUN_MARGIN
+    return max(short_s, min(in_time_s, waiting_request.objective_s * MAX_WAIT_SHARE))
 
 
 class QueueAge:
@@ -60,7 +60,7 @@
             self._waiting[rank] = 0
             self._since[rank] = now
         for other in self._waiting:
-            if other >= rank and not self._up_to(other):
+            if other >= rank and not self._count_up_to(other):
                 self._since[other] = now
         self._waiting[rank] += 1
 
@@ -73,9 +73,9 @@
 
         *slot_s* is the time in which the target gives one slot back.
         """
-        return bool(self._up_to(rank)) and now - self._since_of(rank) > BURST_SLOTS * slot_s
+        return bool(self._count_up_to(rank)) and now - self._since_of(rank) > BURST_SLOTS * slot_s
 
-    def _up_to(self, rank: int) -> int:
+    def _count_up_to(self, rank: int) -> int:
         return sum(count for other, count in self._waiting.items() if other <= rank)
 
     def _since_of(self, rank: int) -> float:
--- a/packages/coordination/src/pearward_coordination/quarantine.py
+++ b/packages/coordination/src/pearward_coordination/quarantine.py
@@ -31,9 +31,9 @@
 REFUSED_AFTER = 3
 """Crashes under a request after which it is sent to no target: two may be chance, when many
 targets crash at once and callers come again with what was lost."""
-MOST_CONTENTS = 4096
+MAX_CONTENTS = 4096
 """Contents that are known, at most: those of some hundred crashes."""
-MOST_CRASHES = 1024
+MAX_CRASHES = 1024
 """Crashes that are known by the target's name, at most, so that none counts twice."""
 
 
@@ -91,14 +91,14 @@
         if record.target in self._crashes:
             return ()
         self._crashes[record.target] = None
-        _drop_oldest(self._crashes, MOST_CRASHES)
+        _drop_oldest(self._crashes, MAX_CRASHES)
         before = {content: self.standing(content, now) for content in record.contents}
         for content in record.contents:
             suspect = self._suspects.pop(content, None) or _Suspect()
             suspect.targets.add(record.target)
             suspect.last = max(suspect.last, now - age_s)
             self._suspects[content] = suspect
-        _drop_oldest(self._suspects, MOST_CONTENTS)
+        _drop_oldest(self._suspects, MAX_CONTENTS)
         return tuple(
             content
             for content, standing in before.items()
@@ -118,7 +118,7 @@
         crashes, since_s = len(suspect.targets), now - suspect.last
         if crashes >= refused_after and since_s < self._rule.lasts_s:
             return Standing.REFUSED
-        if since_s >= self._kept_s(crashes):
+        if since_s >= self._retention_s(crashes):
             del self._suspects[content]
             return Standing.FREE
         return Standing.ALONE if crashes >= refused_after - 1 else Standing.FREE
@@ -133,7 +133,7 @@
         """Return how many contents are refused."""
         return sum(self.standing(each, now) is Standing.REFUSED for each in list(self._suspects))
 
-    def _kept_s(self, crashes: int) -> float:
+    def _retention_s(self, crashes: int) -> float:
         """Return for how long after the last crash a content is known.
 
         One that was refused is tried again after that, alone, and refused at the next crash: it
@@ -143,6 +143,6 @@
         return 2 * lasts_s if crashes >= self._rule.refused_after else lasts_s
 
 
-def _drop_oldest(known: dict[str, Any], most: int) -> None:
-    while len(known) > most:
+def _drop_oldest(known: dict[str, Any], max_size: int) -> None:
+    while len(known) > max_size:
         del known[next(iter(known))]
--- a/packages/coordination/src/pearward_coordination/selection.py
+++ b/packages/coordination/src/pearward_coordination/selection.py
@@ -1,7 +1,7 @@
-"""Which target of a service that is not divided by key gets the next request.
+"""Choose a target for the next request of a service that is not divided by key.
 
-Every answer of a target's daemon carries that target's load, so the requester's picture
-is as old as its last exchange; what it has sent since is added. No I/O and no clock.
+Every reply of a target's daemon carries the target's load, so the requester's view is as old as its
+last exchange; requests sent since then are added. No I/O and no clock.
 """
 
 from __future__ import annotations
@@ -31,49 +31,51 @@
 
 _T = TypeVar("_T")
 
-LOAD_FADES_S = 1.0
-"""Time in which a load that was not reported again counts for half: measured queues of
-these targets empty in less."""
+LOAD_HALF_LIFE_S = 1.0
+"""Half-life in seconds of a load that is not reported again; queues of targets empty faster."""
 CROSS_DOMAIN_S = 0.012
-"""Seconds of expected latency that staying in the own failure domain is worth, bytes apart:
-the way there and back takes 3 ms, and heads of requests are bytes as well."""
+"""Seconds of expected latency accepted to stay in the own failure domain, before the cost of bytes:
+a round trip takes 3 ms, and request heads use bytes as well."""
 CROSS_DOMAIN_S_PER_KB = 0.015
-"""The same for each kilobyte of a request and its answer: a kilobyte takes 1.3 ms of a link of
-6 Mbit/s at each end, and what crosses between failure domains shares their links with all else."""
-MOST_CROSS_DOMAIN_S = 0.1
-"""Beyond this a crowded near target would be preferred to a free one elsewhere."""
+"""The same per kilobyte of a request and its response. A kilobyte takes 1.3 ms of a 6 Mbit/s link
+at each end, and cross-domain traffic shares these links with all other traffic."""
+MAX_CROSS_DOMAIN_S = 0.1
+"""Upper limit in seconds; beyond it a crowded near target would be preferred to a free far one."""
 FAILURE_PENALTY_S = 0.6
-"""Seconds of expected latency that a recent failure counts for; fades by half each second."""
-CROWDED = 0.6
-"""Part of the slots above which a target is expected to slow down or to queue."""
-UNKNOWN_SERVICE_S = 0.15
-"""Seconds that a request is expected to run where nothing is known of any target."""
-UNKNOWN_SLOTS = 12
-"""Slots of such a target; known ones have 6 to 12."""
+"""Seconds of expected latency added per recent failure; halves each second."""
+CROWDED_SHARE = 0.6
+"""Part of the slots in use above which a target is expected to slow down or to queue."""
+DEFAULT_SERVICE_S = 0.15
+"""Expected running time in seconds if the load of no target is known."""
+DEFAULT_SLOTS = 12
+"""Assumed slots of a target with unknown load; known targets have 6 to 12."""
 NEAR_LOOKS, FAR_LOOKS = 2, 2
-"""Targets that are compared for one request, in the own failure domain and elsewhere.
+"""Number of targets compared per request, in the own failure domain and elsewhere.
 
-A requester hears of one of 75 targets every 20 s, and what it knows of a queue is old after one:
-the best of all by such knowledge is the same few for everybody. Few that are drawn at random
-differ from request to request (Mitzenmacher, 2000), and cost the same however many there are:
-42 us a choice in place of 293 among 75 targets of 195 members (processor time, 3,000 choices)."""
+A requester receives reports from one of 75 targets every 20 s, and a queue length is outdated after
+one second. Comparing all targets by such data would make every requester choose the same few. Small
+random samples differ from request to request (Mitzenmacher, 2000), and their cost does not depend
+on the number of targets: 42 us of processor time per choice instead of 293 us with 75 targets among
+195 members.
+"""
 REPORT_WEIGHT = 0.05
-"""Weight of the newest report in the mean time of a service: some twenty targets' speeds."""
-LEAST_ODDS = 0.4
-"""Part of the targets that must have a place without a queue for that to be asked for: below it
-two that are asked find one in half of the cases at most."""
+"""Weight of the newest report in the mean running time of a service: about twenty reports count."""
+MIN_ODDS = 0.4
+"""Part of the probed targets that must have a free slot for probing to continue; below it, two
+probes find a free slot in at most half of the cases."""
 ODDS_WEIGHT = 0.1
-"""Weight of the newest answer in these odds: ten answers, three seconds of a usual daemon."""
-ASK_AGAIN = 8
-"""One request in so many asks all the same."""
-DRAWS_PER_LOOK = 4
-"""Targets that are drawn for each one that is compared before all are gone through: while three
-quarters of them cannot be asked, this finds one in two of three cases."""
+"""Weight of the newest probe in this estimate: ten probes, about three seconds of a usual
+daemon."""
+PROBE_INTERVAL = 8
+"""While the estimate is low, one request in this many still probes."""
+DRAWS_PER_SAMPLE = 4
+"""Random draws per compared target before all targets are scanned; if three quarters of them are
+unusable, this finds one in two of three cases."""
 
 
 @dataclass(frozen=True, slots=True)
 class TargetLoad:
-    """What the daemon beside a target said of it."""
+    """Load of a target as reported by its daemon."""
 
     running: int
     waiting: int
@@ -81,54 +83,54 @@
     service_s: float
     """Mean running time of a request in seconds."""
     link_s: float = 0.0
-    """Seconds that a long answer is expected to need for the link of the target's instance."""
+    """Expected seconds to send a long response over the link of the target's instance."""
 
 
 @dataclass(slots=True)
 class LoadView:
-    """What a requester knows of one target."""
+    """A requester's view of one target's load."""
 
     load: TargetLoad | None = None
-    """What it reported last."""
+    """The latest report."""
     reported_at: float = 0.0
     in_flight: int = 0
-    """Own requests that are not answered."""
-    in_flight_then: int = 0
-    """Of those, the ones that the report already counted."""
+    """Own requests without a response."""
+    in_flight_at_report: int = 0
+    """Those of them that the report already includes."""
     failures: float = 0.0
     failed_at: float = 0.0
 
     def reported(self, load: TargetLoad, now: float) -> None:
-        """Take a report that came with an answer."""
+        """Record a report that came with a reply."""
         self.load = load
         self.reported_at = now
-        self.in_flight_then = self.in_flight
+        self.in_flight_at_report = self.in_flight
 
     def failed(self, now: float) -> None:
-        """Note an answer that was a failure, or none."""
+        """Record a failed or missing reply."""
         self.failures = self.recent_failures(now) + 1.0
         self.failed_at = now
 
     def recent_failures(self, now: float) -> float:
-        """Return the failures, fading by half each second."""
+        """Return the number of failures, halved each second."""
         return float(self.failures * 0.5 ** (now - self.failed_at))
 
     def busy(self, now: float) -> float:
-        """Return the requests that the target is expected to run and queue now."""
+        """Return the number of requests that the target is expected to run and queue now."""
         reported = self.load.running + self.load.waiting if self.load is not None else 0
-        faded = float(reported * 0.5 ** ((now - self.reported_at) / LOAD_FADES_S))
-        return max(0.0, faded + self.in_flight - self.in_flight_then, float(self.in_flight))
+        faded = float(reported * 0.5 ** ((now - self.reported_at) / LOAD_HALF_LIFE_S))
+        return max(0.0, faded + self.in_flight - self.in_flight_at_report, float(self.in_flight))
 
 
 class MeanService:
-    """How long requests of one service run, by what its targets report."""
+    """Mean running time of one service's requests, as reported by its targets."""
 
     def __init__(self) -> None:
-        self.seconds = UNKNOWN_SERVICE_S
+        self.seconds = DEFAULT_SERVICE_S
         self._reports = 0
 
     def reported(self, load: TargetLoad) -> None:
-        """Take one target's report."""
+        """Add one target's report to the mean."""
         self._reports += 1
         weight = max(REPORT_WEIGHT, 1.0 / self._reports)
         self.seconds += weight * (load.service_s - self.seconds)
@@ -136,12 +138,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Exchange:
-    """What is known of a request and its answer before a target is chosen."""
+    """Properties of a request and its expected response, known before a target is chosen."""
 
     kilobytes: float = 0.0
-    """Usual size of both together."""
+    """Usual size of the two together."""
     long_answer: bool = False
-    """Whether the link of the target's instance counts as well."""
+    """Whether the delay on the link of the target's instance counts as well."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -154,46 +156,46 @@
     view: LoadView
     cold: bool = False
     local: bool = False
-    """Whether it is on the requester's instance: no link lies between."""
+    """Whether it is on the requester's instance, so that no link is used."""
 
 
-def distance_s(asked: Exchange) -> float:
-    """Return the expected latency that avoiding another failure domain is worth, in seconds."""
-    return min(MOST_CROSS_DOMAIN_S, CROSS_DOMAIN_S + asked.kilobytes * CROSS_DOMAIN_S_PER_KB)
+def cross_domain_cost_s(profile: Exchange) -> float:
+    """Return the expected latency in seconds that is accepted to stay in the own failure domain."""
+    return min(MAX_CROSS_DOMAIN_S, CROSS_DOMAIN_S + profile.kilobytes * CROSS_DOMAIN_S_PER_KB)
 
 
 def draw(group: Sequence[_T], count: int, usable: Callable[[_T], bool], rng: Random) -> list[_T]:
-    """Return up to *count* usable members of a group, drawn at random; all where they are few."""
+    """Return up to *count* usable members of a group, drawn at random; all if there are fewer."""
     if len(group) <= count:
         return [each for each in group if usable(each)]
     drawn: dict[int, _T] = {}
-    for _ in range(count * DRAWS_PER_LOOK):
+    for _ in range(count * DRAWS_PER_SAMPLE):
         number = int(rng.random() * len(group))
         if number not in drawn and usable(group[number]):
             drawn[number] = group[number]
             if len(drawn) == count:
                 return list(drawn.values())
-    usable_ones = [each for each in group if usable(each)]
-    return usable_ones if len(usable_ones) <= count else rng.sample(usable_ones, count)
+    all_usable = [each for each in group if usable(each)]
+    return all_usable if len(all_usable) <= count else rng.sample(all_usable, count)
 
 
 def expected_latency(
-    candidate: Candidate, now: float, asked: Exchange, far_s: float, usual_s: float
+    candidate: Candidate, now: float, profile: Exchange, far_s: float, usual_s: float
 ) -> float:
-    """Return the seconds that a request sent now is expected to take, penalties included.
+    """Return the expected latency in seconds of a request sent now, including penalties.
 
-    *usual_s* is how long requests run where a target's own time is not known.
+    *usual_s* is the running time assumed for targets without a report.
     """
     view = candidate.view
-    load = view.load or TargetLoad(0, 0, UNKNOWN_SLOTS, usual_s)
+    load = view.load or TargetLoad(0, 0, DEFAULT_SLOTS, usual_s)
     slots = max(1, load.slots)
     busy = view.busy(now) + 1.0
-    crowd = max(0.0, busy / slots - CROWDED)
+    crowd = max(0.0, busy / slots - CROWDED_SHARE)
     queue = max(0.0, busy - slots) / slots
     service_s = load.service_s * (1.6 if candidate.cold else 1.0)
     latency = service_s * (1.0 + crowd + queue)
     latency += view.recent_failures(now) * FAILURE_PENALTY_S
-    if asked.long_answer and not candidate.local:
+    if profile.long_answer and not candidate.local:
         latency += load.link_s
     return latency if candidate.near else latency + far_s
 
@@ -202,19 +204,19 @@
     candidates: Iterable[Candidate],
     now: float,
     rng: Random,
-    asked: Exchange | None = None,
-    usual_s: float = UNKNOWN_SERVICE_S,
+    profile: Exchange | None = None,
+    usual_s: float = DEFAULT_SERVICE_S,
 ) -> Candidate | None:
     """Return the candidate with the least expected latency; near ties are broken at random.
 
-    The random part keeps requesters with the same picture from all choosing the same one.
+    The random factor keeps requesters with the same view from all choosing the same target.
     """
     best: Candidate | None = None
     best_cost = 0.0
-    asked = asked or Exchange()
-    far_s = distance_s(asked)
+    profile = profile or Exchange()
+    far_s = cross_domain_cost_s(profile)
     for candidate in candidates:
-        cost = expected_latency(candidate, now, asked, far_s, usual_s)
+        cost = expected_latency(candidate, now, profile, far_s, usual_s)
         cost *= 0.9 + 0.2 * rng.random()
         if best is None or cost < best_cost:
             best, best_cost = candidate, cost
@@ -222,41 +224,41 @@
 
 
 class IdleOdds:
-    """How often targets of a service that are asked for a place without a queue have one.
+    """Estimate of how often probed targets of a service have a free slot.
 
-    Where few of them do, asking first for such a place costs two daemons half a millisecond of
-    processor time each time and finds nothing: the first target that is asked may as well keep
-    the request. One request in a while still asks, so that the end of the rush is seen.
+    If few of them do, probing first costs two daemons half a millisecond of processor time per
+    request without finding a free slot, so the first target asked may as well queue the request. An
+    occasional request still probes, to detect the end of the overload.
     """
 
     def __init__(self) -> None:
-        self._found = 1.0
+        self._odds = 1.0
         self._skipped = 0
 
     def worth_asking(self) -> bool:
-        """Return whether the next request should look for a place without a queue first."""
-        if self._found >= LEAST_ODDS:
+        """Return whether the next request should probe for a free slot first."""
+        if self._odds >= MIN_ODDS:
             return True
-        self._skipped = (self._skipped + 1) % ASK_AGAIN
+        self._skipped = (self._skipped + 1) % PROBE_INTERVAL
         return self._skipped == 0
 
     def asked(self, *, found: bool) -> None:
-        """A target was asked and had such a place, or not."""
-        self._found += ODDS_WEIGHT * (found - self._found)
+        """Record whether a probed target had a free slot."""
+        self._odds += ODDS_WEIGHT * (found - self._odds)
 
 
 class WeightedTurns:
-    """Shares one route's requests among services exactly by their weights."""
+    """Weighted round robin that shares one route's requests exactly by the services' weights."""
 
     def __init__(self, parts: Sequence[WeightedService], rng: Random) -> None:
         self._parts = tuple(parts)
         total = sum(part.weight for part in self._parts) or 1.0
-        # A random start: many daemons with few requests each must not all begin alike.
+        # The random start keeps many daemons with few requests each from all starting alike.
         self._credit = [rng.random() * part.weight / total for part in self._parts]
         self._shares = [part.weight / total for part in self._parts]
 
     def next(self) -> str:
-        """Return the service that the next request goes to."""
+        """Return the service for the next request."""
         for number, share in enumerate(self._shares):
             self._credit[number] += share
         chosen = max(range(len(self._parts)), key=lambda n: self._credit[n])
--- a/packages/coordination/src/pearward_coordination/slots.py
+++ b/packages/coordination/src/pearward_coordination/slots.py
@@ -1,9 +1,9 @@
-"""Which requests the target beside this daemon runs now, which wait, and which are refused.
+"""Decide which requests the local target runs, which wait for a slot, and which are refused.
 
-All work of a target passes the daemon beside it, so slots are counted exactly. Waiting
-requests are ordered by rank, then by deadline; where one key asks for more than its owner runs,
-those of a key that has half of the slots wait behind all others. A request that could not be
-answered in time is refused at once, while the caller still has time to try again.
+All work of a target passes through its daemon, so slots are counted exactly. Waiting requests are
+ordered by rank, then by deadline; requests for a key that uses half of the slots wait behind all
+others, as one hot key may exceed its owner's capacity. A request that could not be answered in time
+is refused at once, while its caller still has time to retry.
 
 No I/O and no clock.
 """
@@ -13,32 +13,32 @@
 
 from .overload.policy import Mechanism, OverloadPolicy
 from .overload.returns import TurnedAway, back_after_s, usual_back_after_s
-from .overload.waiting import QueueAge, Waiter, patience_s
+from .overload.waiting import QueueAge, WaitingRequest, patience_s
 
 __all__ = ["Refused", "SlotLimits", "SlotQueue", "SlotTicket"]
 
-FIRST_GUESS_S = 0.15
+INITIAL_RUN_S = 0.15
 """Running time in seconds assumed before any request has ended."""
-TIME_WEIGHT = 0.015
-"""Least weight of the newest request in the mean of running times: some seventy requests,
-since running times vary by their own mean and a target's speed does not."""
-GUESS_COUNTS = 6
-"""Requests that the first guess stands for."""
-ROUTES_KEPT = 256
-"""Routes whose running times are kept apart; a service has a few."""
+MIN_MEAN_WEIGHT = 0.015
+"""Minimum weight of the newest request in the mean running time. About seventy requests count, as
+running times vary by as much as their mean while a target's speed does not."""
+INITIAL_WEIGHT = 6
+"""Number of requests that the initial assumption counts for."""
+MAX_ROUTES = 256
+"""Maximum number of routes with separate running times; a service has a few."""
 SLOW_FACTOR = 1.6
-"""Mean age of what runs, over the mean running time, from which a target counts as slow:
-usually the two are about equal. One that has just turned slow ends nothing, so that the
-ages tell first; below this factor they tell chance."""
+"""Ratio of the mean age of running requests to the mean running time above which a target counts as
+slow; usually the two are about equal. A target that has just become slow completes no requests, so
+that ages show it first; smaller ratios are random variation."""
 SLOW_SHARE = 0.6
-"""Part of the slots that must be taken for the ages to tell anything."""
+"""Part of the slots that must be in use for the ages to be significant."""
 
 
 KEY_SHARE = 0.5
-"""Part of the slots that requests of one key may have, running and waiting, before they wait behind
-those of other keys: a hot key still gets every slot that nobody else wants, and callers of its
-owner's other keys do not pay for it. Gain: 0.016 of a day over capacity in place of 0.033 lost with
-requests that were held and never sent (59 instances, one day played with and without)."""
+"""Part of the slots that requests for one key may use, running and waiting, before further ones
+wait behind those of other keys. A hot key still gets every slot that is otherwise free, without
+delaying the owner's other keys. Over capacity, 0.016 instead of 0.033 of a day's value is lost with
+requests that are held and never sent (59 instances)."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,36 +47,36 @@
 
     slots: int
     queue: int = 96
-    """Requests that may wait; by default eight for each slot of a usual target."""
+    """Number of requests that may wait; the default is eight per slot of a usual target."""
     policy: OverloadPolicy = field(default_factory=OverloadPolicy)
 
 
 @dataclass(slots=True, eq=False)
 class SlotTicket:
-    """One request's place."""
+    """A request's place among the running and waiting ones."""
 
     rank: int
     deadline: float
-    """Time in s of the steady clock after which nobody waits for the answer."""
+    """Time in s of the steady clock after which the caller no longer waits."""
     objective: float
-    """Time in s by which the answer is worth most."""
+    """Time in s by which the response has its full value."""
     arrived: float
     route: str = ""
-    """Requests of one route run about equally long."""
+    """Route of the request; running times are averaged per route."""
     idle_only: bool = False
-    """Whether another target is asked next, so that it does not wait here."""
+    """Whether another target is asked next, so that the request does not wait here."""
     key: int | None = None
-    """Key of the request; None where its service is not divided by key."""
-    crowds: bool = False
-    """Whether its key had its share of the slots when it came: others go first."""
+    """Key of the request; None if its service is not divided by key."""
+    over_key_share: bool = False
+    """Whether its key had used up its share of the slots on arrival; other requests go first."""
     started: float = 0.0
     waiting: bool = False
-    gone: bool = False
+    finished: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """The request was not run; it may come back after a while."""
+    """The request was not run and may be retried after a delay."""
 
     retry_after_s: float
 
@@ -89,9 +89,9 @@
         self._measured = 0
 
     def take(self, ran_s: float) -> None:
-        """Count one more running time."""
+        """Add one running time."""
         self._measured += 1
-        weight = max(TIME_WEIGHT, 1.0 / (self._measured + GUESS_COUNTS))
+        weight = max(MIN_MEAN_WEIGHT, 1.0 / (self._measured + INITIAL_WEIGHT))
         self.seconds += weight * (ran_s - self.seconds)
 
 
@@ -110,38 +110,38 @@
         self._running: set[SlotTicket] = set()
         self._waiting = 0
         self._age = QueueAge()
-        self._mean = _MovingMean(FIRST_GUESS_S)
+        self._mean = _MovingMean(INITIAL_RUN_S)
         self._by_route: dict[str, _MovingMean] = {}
         self._by_key: dict[int, int] = {}
-        """Requests of each key that run or wait."""
+        """Number of running and waiting requests by key."""
         self._number = 0
 
     # -- properties -------------------------------------------------------------
 
     @property
     def slots(self) -> int:
-        """Requests that the target works on at once."""
+        """Number of requests that the target runs concurrently."""
         return self._limits.slots
 
     @property
     def running(self) -> int:
-        """Requests that hold a slot."""
+        """Number of requests that hold a slot."""
         return len(self._running)
 
     @property
     def waiting(self) -> int:
-        """Requests that wait for one."""
+        """Number of requests that wait for a slot."""
         return self._waiting
 
     # -- changes ------------------------------------------------------------------
 
     def set_limits(self, limits: SlotLimits) -> None:
-        """Apply other limits; running requests are never cut for lower ones."""
+        """Apply other limits; running requests are not stopped if the limits are lower."""
         self._limits = limits
 
     def offer(self, ticket: SlotTicket, now: float) -> bool | Refused:
         """Start a request (True), let it wait (False) or refuse it."""
-        ticket.crowds = self._is_crowding(ticket)
+        ticket.over_key_share = self._exceeds_key_share(ticket)
         if len(self._running) < self._limits.slots and not self._waiting:
             self._count_key(ticket, 1)
             self._start(ticket, now)
@@ -156,17 +156,17 @@
         self._waiting += 1
         self._age.joined(ticket.rank, now)
         self._count_key(ticket, 1)
-        order = (*_place(ticket), self._number)
+        order = (*_sort_key(ticket), self._number)
         heapq.heappush(self._heap, _Entry(order, ticket))
         return False
 
-    def _is_crowding(self, ticket: SlotTicket) -> bool:
+    def _exceeds_key_share(self, ticket: SlotTicket) -> bool:
         if ticket.key is None:
             return False
         return self._by_key.get(ticket.key, 0) >= max(1.0, self._limits.slots * KEY_SHARE)
 
     def _count_key(self, ticket: SlotTicket, change: int) -> None:
-        """Count a request of a key as begun, or as over."""
+        """Add *change* to the number of requests for the ticket's key."""
         if ticket.key is None:
             return
         count = self._by_key.get(ticket.key, 0) + change
@@ -176,13 +176,13 @@
             self._by_key.pop(ticket.key, None)
 
     def finish(self, ticket: SlotTicket, now: float, *, measured: bool) -> None:
-        """Free a slot, or the place of a request that waited.
+        """Free the slot or the queue place of a request.
 
-        *measured* says that the running time is one of the target's own whole answers.
+        *measured* states that the running time is that of a complete response of the target itself.
         """
-        if ticket.gone:
+        if ticket.finished:
             return
-        ticket.gone = True
+        ticket.finished = True
         self._count_key(ticket, -1)
         if ticket.waiting:
             self._stop_waiting(ticket)
@@ -201,7 +201,7 @@
     def _route_mean(self, ticket: SlotTicket) -> "_MovingMean":
         mean = self._by_route.get(ticket.route)
         if mean is None:
-            if len(self._by_route) >= ROUTES_KEPT:
+            if len(self._by_route) >= MAX_ROUTES:
                 self._by_route.clear()
             mean = self._by_route[ticket.route] = _MovingMean(self._mean.seconds)
         return mean
@@ -218,7 +218,7 @@
                 continue
             self._stop_waiting(ticket)
             if now + self._mean.seconds * 0.5 > ticket.deadline:
-                ticket.gone = True
+                ticket.finished = True
                 self._count_key(ticket, -1)
                 late.append(ticket)
                 continue
@@ -227,40 +227,41 @@
         return started, late
 
     def patience_s(self, ticket: SlotTicket, now: float) -> float:
-        """Return the seconds that a request may wait for a slot."""
+        """Return the maximum wait for a slot in seconds."""
         policy = self._limits.policy
         slot_s = self.service_s(now) / max(1, self._limits.slots)
-        standing = not policy.uses(Mechanism.BURST_PATIENCE) or self._age.standing(
+        standing = not policy.uses(Mechanism.BURST_WAIT) or self._age.standing(
             ticket.rank, now, slot_s
         )
-        waiter = Waiter(ticket.objective - ticket.arrived, self.runs_s(ticket))
-        return patience_s(waiter, standing=standing)
+        waiting_request = WaitingRequest(ticket.objective - ticket.arrived, self.runs_s(ticket))
+        return patience_s(waiting_request, standing=standing)
 
     def runs_s(self, ticket: SlotTicket) -> float:
-        """Return the seconds for which requests like this one run, by those that ended."""
+        """Return the mean running time in seconds of requests on the same route."""
         mean = self._by_route.get(ticket.route)
         return (mean or self._mean).seconds
 
     def service_s(self, now: float) -> float:
-        """Return how long a request is expected to run, by those that ended and those that run."""
+        """Return the expected running time in seconds, from completed and running requests."""
         if len(self._running) < self._limits.slots * SLOW_SHARE:
             return self._mean.seconds
         age_s = sum(now - ticket.started for ticket in self._running) / len(self._running)
         return age_s if age_s > self._mean.seconds * SLOW_FACTOR else self._mean.seconds
 
     def expected_wait(self, ticket: SlotTicket, now: float) -> float:
-        """Return the seconds until a request that comes now would start."""
+        """Return the seconds until a request that arrives now would start."""
         if len(self._running) < self._limits.slots:
             return 0.0
         return (self._ahead(ticket) + 1) * self.service_s(now) / max(1, self._limits.slots)
 
     def _ahead(self, ticket: SlotTicket) -> int:
-        """Return the waiting requests that would start before one that comes now."""
-        place = _place(ticket)
-        return sum(1 for each in self._heap if each.ticket.waiting and each.order[:3] <= place)
+        """Return the number of waiting requests that would start before one that arrives now."""
+        sort_key = _sort_key(ticket)
+        return sum(1 for each in self._heap if each.ticket.waiting and each.order[:3] <= sort_key)
 
     def retry_after(self, ticket: SlotTicket, wait_s: float, now: float) -> float:
-        """Return the seconds after which a request that is refused now should come back."""
+        """Return the seconds after which the caller of a request that is refused now should
+        retry."""
         if not self._limits.policy.uses(Mechanism.RETURNS_IN_TIME):
             return usual_back_after_s(wait_s)
         return back_after_s(
@@ -277,6 +278,6 @@
         self._running.add(ticket)
 
 
-def _place(ticket: SlotTicket) -> tuple[bool, int, float]:
-    """Return what the order of waiting requests goes by."""
-    return ticket.crowds, ticket.rank, ticket.deadline
+def _sort_key(ticket: SlotTicket) -> tuple[bool, int, float]:
+    """Return the sort key of waiting requests."""
+    return ticket.over_key_share, ticket.rank, ticket.deadline
--- a/packages/coordination/src/pearward_coordination/watchers.py
+++ b/packages/coordination/src/pearward_coordination/watchers.py
@@ -16,12 +16,12 @@
 
 __all__ = ["ChangeLog", "EntryChange", "Watchers", "watchers_of"]
 
-WATCHERS = 3
+WATCHER_COUNT = 3
 """Members that follow the store: two may be lost, or cut off, at the same moment."""
 CHANGES_KEPT = 2048
 """Changes that a watcher remembers: ten for each of two hundred members, some minutes' worth.
 Who lacks more than that reads the store anew."""
-SILENT_S = 4.0
+SILENT_PAUSE_S = 4.0
 """Seconds for which a watcher that did not answer, or could not, is asked only after others."""
 
 
@@ -52,7 +52,7 @@
             continue
         domains.add(member.failure_domain)
         chosen.append(member)
-    return (chosen + rest)[:WATCHERS]
+    return (chosen + rest)[:WATCHER_COUNT]
 
 
 class Watchers:
@@ -63,15 +63,15 @@
         self._instance = instance
         self._failure_domain = failure_domain
         self._chosen: list[Member] = []
-        self._chosen_by = -1
+        self._chosen_at_revision = -1
         """Revision of the members that they were chosen by: going through all takes 0.2 ms."""
         self._silent: dict[str, float] = {}
 
     @property
     def chosen(self) -> list[Member]:
         """The members that follow the store."""
-        if self._chosen_by != self._directory.revision:
-            self._chosen_by = self._directory.revision
+        if self._chosen_at_revision != self._directory.revision:
+            self._chosen_at_revision = self._directory.revision
             self._chosen = watchers_of(self._directory.registered)
         return self._chosen
 
@@ -88,16 +88,16 @@
         if not usable:
             return []
         # Those without one in their failure domain are spread over all.
-        start = hash_of(self._instance) % len(usable)
-        turned = usable[start:] + usable[:start]
-        return sorted(turned, key=lambda m: m.failure_domain != self._failure_domain)
+        start = stable_hash(self._instance) % len(usable)
+        rotated = usable[start:] + usable[:start]
+        return sorted(rotated, key=lambda m: m.failure_domain != self._failure_domain)
 
     def silent(self, instance: str, now: float) -> None:
         """A watcher gave no answer, or is cut off from the store itself."""
-        self._silent[instance] = now + SILENT_S
+        self._silent[instance] = now + SILENT_PAUSE_S
 
 
-def hash_of(name: str) -> int:
+def stable_hash(name: str) -> int:
     """Return a number that is the same in all processes."""
     return sum(byte * (place + 1) for place, byte in enumerate(name.encode()))
 
