--- a/packages/coordination/src/pearward_coordination/grant_calls.py
+++ b/packages/coordination/src/pearward_coordination/grant_calls.py
@@ -19,7 +19,7 @@
 
 from pearward_state.keymap import KeyRange
 
-from .grants import CLOCK_SLACK, SHORTEST_HOLD_S, GrantedRow, GrantKeeper, HeldRow, ReleasedRow
+from .grants import CLOCK_SLACK, MIN_HOLD_S, GrantedRow, GrantKeeper, HeldRow, ReleasedRow
 from .hold_ledger import Hold
 
 __all__ = ["CALL_SENT_S", "CALL_TRANSIT_S", "GrantCall", "GrantCalls", "ReleaseCall"]
@@ -91,7 +91,7 @@
                 self._releases.add(release)
                 calls.append(release)
         hold_s = self._keeper.hold_s(now + CALL_TRANSIT_S)
-        if hold_s < SHORTEST_HOLD_S or not attached:
+        if hold_s < MIN_HOLD_S or not attached:
             return calls
         for granted, first_time in self._rows_due(now):
             if len(self._grants) >= MAX_CONCURRENT_GRANTS:
@@ -119,7 +119,7 @@
                 if ledger.oldest_sent(row.first, row.last, row.fence, now) is None:
                     yield row, True
         renew_s = self._keeper.timing.hold_s * RENEW_AT_SHARE
-        for span in _joined(held):
+        for span in _join_adjacent(held):
             sent = ledger.oldest_sent(span.first, span.last, span.fence, now)
             if sent is not None and now - sent >= renew_s:
                 yield GrantedRow(span.first, span.last, span.fence, ""), False
@@ -183,7 +183,7 @@
         self._releases.discard(call)
 
 
-def _joined(ranges: list[KeyRange]) -> Iterator[HeldRow]:
+def _join_adjacent(ranges: list[KeyRange]) -> Iterator[HeldRow]:
     """Yield adjacent ranges under one fence as one, since each call carries one range."""
     span: HeldRow | None = None
     for owned in ranges:
--- a/packages/coordination/src/pearward_coordination/grants.py
+++ b/packages/coordination/src/pearward_coordination/grants.py
@@ -39,9 +39,9 @@
 RENEW_S = 0.4
 CLOCK_SLACK = 1.02
 """Factor by which a target's clock may run slow, as the interface of the targets states."""
-SHORTEST_HOLD_S = 0.3
+MIN_HOLD_S = 0.3
 """Minimum seconds of a hold; a shorter one is not granted."""
-TOKENS_KEPT = 256
+MAX_TOKENS = 256
 """Number of handoff tokens kept for replies to later requests; the oldest are dropped first."""
 HEARTBEAT_TRANSIT_S = 0.1
 """Seconds before the receipt of its heartbeat at which a hold is assumed to have started."""
@@ -244,7 +244,7 @@
     def let_go(self, row: ReleasedRow) -> None:
         """Record keys that the target has released."""
         self._tokens.append(row)
-        del self._tokens[:-TOKENS_KEPT]
+        del self._tokens[:-MAX_TOKENS]
         self._ledger.remove_range(row.first, row.last)
 
     def begun_unknown(self, transit_s: float) -> None:
@@ -285,7 +285,7 @@
     def grant(self, received: float, now: float) -> tuple[list[GrantedRow], float] | None:
         """Return the rows to hold and the hold in seconds, or None if nothing is renewed."""
         hold = self.hold_s(received)
-        if self._map is None or not self._target or received + hold < now + SHORTEST_HOLD_S:
+        if self._map is None or not self._target or received + hold < now + MIN_HOLD_S:
             return None
         until = received + hold * CLOCK_SLACK
         certain_until = received - HEARTBEAT_TRANSIT_S + hold
--- a/packages/coordination/src/pearward_coordination/key_load.py
+++ b/packages/coordination/src/pearward_coordination/key_load.py
@@ -84,14 +84,14 @@
         """Weight of each key, in requests at the landmark."""
         self._total = 0.0
         self._landmark = 0.0
-        self._began: float | None = None
+        self._started_at: float | None = None
 
     def add(self, counts: Iterable[KeyCount], now: float) -> None:
         """Add an owner's report."""
         scale = self._scale(now)
-        if self._began is None or self._total < IDLE_WEIGHT * scale:
+        if self._started_at is None or self._total < IDLE_WEIGHT * scale:
             # After a period with almost no requests the mean starts anew.
-            self._began = now - REPORT_S
+            self._started_at = now - REPORT_S
             self._replace({}, now)
             scale = 1.0
         weights = self._weights
@@ -105,13 +105,13 @@
         """Replace the history by that of a table with a shorter window, after a sudden change."""
         seen_s = recent.seen_s(now)
         self._replace({row.key: row.rate * seen_s for row in recent.rates(now)}, now)
-        self._began = now + self._window_s * log(max(0.01, 1.0 - seen_s / self._window_s))
+        self._started_at = now + self._window_s * log(max(0.01, 1.0 - seen_s / self._window_s))
 
     def seen_s(self, now: float) -> float:
         """Return the effective observation time of the table in seconds."""
-        if self._began is None:
+        if self._started_at is None:
             return 0.0
-        return self._window_s * (1.0 - exp(-max(0.0, now - self._began) / self._window_s))
+        return self._window_s * (1.0 - exp(-max(0.0, now - self._started_at) / self._window_s))
 
     def rate(self, now: float) -> float:
         """Return the requests per second for all keys together."""
--- a/packages/coordination/src/pearward_coordination/keyplan.py
+++ b/packages/coordination/src/pearward_coordination/keyplan.py
@@ -256,8 +256,8 @@
     for segment in segments:
         if segment.owner in by_owner:
             by_owner[segment.owner].append(segment)
-    for own in by_owner.values():
-        own.sort(key=lambda p: -p.rate)
+    for segments_owned in by_owner.values():
+        segments_owned.sort(key=lambda p: -p.rate)
     moved = 0
     most_moves = max(limits.moves, limits.moves_per_owner * len(by_target))
     while moved < most_moves and donors:
@@ -325,9 +325,9 @@
             break
 
 
-def _best_fit(own: list[Segment], amount: float) -> Segment | None:
+def _best_fit(segments_owned: list[Segment], amount: float) -> Segment | None:
     """Return the heaviest segment that does not reverse the imbalance."""
-    for segment in own:
+    for segment in segments_owned:
         if 0.0 < segment.rate <= amount * 1.15:
             return segment
     return None
--- a/packages/coordination/src/pearward_coordination/link_load.py
+++ b/packages/coordination/src/pearward_coordination/link_load.py
@@ -21,7 +21,7 @@
         self._bytes_per_s = mbit_per_s * BYTES_PER_MBIT * PAYLOAD_SHARE
         self._backlog = 0.0
         """Bytes passed to the kernel that are not on the wire yet."""
-        self._at = 0.0
+        self._updated_at = 0.0
 
     @property
     def bytes_per_s(self) -> float:
@@ -39,5 +39,5 @@
         return self._backlog / self._bytes_per_s
 
     def _drain(self, now: float) -> None:
-        self._backlog = max(0.0, self._backlog - (now - self._at) * self._bytes_per_s)
-        self._at = now
+        self._backlog = max(0.0, self._backlog - (now - self._updated_at) * self._bytes_per_s)
+        self._updated_at = now
--- a/packages/coordination/src/pearward_coordination/link_queue.py
+++ b/packages/coordination/src/pearward_coordination/link_queue.py
@@ -134,8 +134,8 @@
         if self.free_in_s(now) > 0.0:
             return None
         sendable = [ticket for ticket in self._tickets if ticket.sendable]
-        if (started := self._started_due(sendable, now)) is not None:
-            return started
+        if (due := self._started_due(sendable, now)) is not None:
+            return due
         late = next((ticket for ticket in sendable if self._is_late(ticket, now)), None)
         in_time = min(
             (ticket for ticket in sendable if not self._is_late(ticket, now)),
--- a/packages/coordination/src/pearward_coordination/overload/key_shedding.py
+++ b/packages/coordination/src/pearward_coordination/overload/key_shedding.py
@@ -45,14 +45,14 @@
 
     asked: float
     served: float
-    at: float
+    updated_at: float
 
     def decay(self, now: float) -> None:
         """Reduce the weight of old outcomes."""
-        factor = 0.5 ** ((now - self.at) / HALF_LIFE_S)
+        factor = 0.5 ** ((now - self.updated_at) / HALF_LIFE_S)
         self.asked *= factor
         self.served *= factor
-        self.at = now
+        self.updated_at = now
 
 
 class KeyShedding:
@@ -92,5 +92,5 @@
             history.served += 1.0
 
     def _drop_oldest(self) -> None:
-        oldest = min(self._seen, key=lambda each: self._seen[each].at)
+        oldest = min(self._seen, key=lambda each: self._seen[each].updated_at)
         del self._seen[oldest]
--- a/packages/coordination/src/pearward_coordination/selection.py
+++ b/packages/coordination/src/pearward_coordination/selection.py
@@ -190,10 +190,10 @@
     load = view.load or TargetLoad(0, 0, DEFAULT_SLOTS, usual_s)
     slots = max(1, load.slots)
     busy = view.busy(now) + 1.0
-    crowd = max(0.0, busy / slots - CROWDED_SHARE)
+    crowding = max(0.0, busy / slots - CROWDED_SHARE)
     queue = max(0.0, busy - slots) / slots
     service_s = load.service_s * (1.6 if candidate.cold else 1.0)
-    latency = service_s * (1.0 + crowd + queue)
+    latency = service_s * (1.0 + crowding + queue)
     latency += view.recent_failures(now) * FAILURE_PENALTY_S
     if profile.long_answer and not candidate.local:
         latency += load.link_s
--- a/packages/coordination/src/pearward_coordination/target_witness.py
+++ b/packages/coordination/src/pearward_coordination/target_witness.py
@@ -3,9 +3,9 @@
 A witness is an instance, not a process: a restarted daemon acts as a witness again at once. Five
 rules keep that safe.
 
-* It renews no lease before it has read the key map from the store since its start, so that it knows
-  every version that an earlier process may have confirmed. A restored store may have lost some of
-  them, so it renews no owner that uses a map from before the era it read.
+* It renews no lease before it has read the key map from the store since its start, so that its
+  version is at least as new as any that an earlier process may have confirmed. A restored store
+  may have lost some of them, so it renews no owner that uses a map from before the era it read.
 * It renews only owners that use a map at least as new as its own.
 * It releases no owner for one full lease after its start, as it has lost its record of grants.
 * It releases an owner for a version only when it uses that version itself and the last lease that
@@ -24,7 +24,7 @@
 __all__ = ["TargetWitness"]
 
 MS_PER_S = 1000
-VERSIONS_KEPT = 8
+MAX_VERSIONS = 8
 """Number of versions tracked separately per owner; older versions are counted as the oldest."""
 
 
@@ -84,7 +84,7 @@
         """Drop grants that have expired, and merge the oldest if there are many."""
         for version in [v for v, until in grants.items() if until <= now]:
             del grants[version]
-        while len(grants) > VERSIONS_KEPT:
+        while len(grants) > MAX_VERSIONS:
             first, second = sorted(grants)[:2]
             # Counting a grant for the older version can only prolong the wait for its end.
             grants[first] = max(grants[first], grants.pop(second))
--- a/packages/coordination/src/pearward_coordination/watchers.py
+++ b/packages/coordination/src/pearward_coordination/watchers.py
@@ -18,7 +18,7 @@
 
 WATCHER_COUNT = 3
 """Number of members that watch the store; two may be lost or cut off at the same time."""
-CHANGES_KEPT = 2048
+MAX_CHANGES = 2048
 """Number of changes that a watcher keeps: ten for each of two hundred members, some minutes of
 changes. A member that is further behind reads the store itself."""
 SILENT_PAUSE_S = 4.0
@@ -56,7 +56,7 @@
 
 
 class Watchers:
-    """The watchers from one daemon's point of view, and which of them it asks."""
+    """One daemon's view of the watchers, and the order in which it queries them."""
 
     def __init__(self, directory: Directory, instance: str, failure_domain: str) -> None:
         self._directory = directory
@@ -126,7 +126,7 @@
         """Add the changes since the last call, complete up to *revision*."""
         self._changes.extend(changes)
         self._revision = max(self._revision, revision)
-        while len(self._changes) > CHANGES_KEPT:
+        while len(self._changes) > MAX_CHANGES:
             self._since = self._changes.popleft().revision
 
     def after(self, revision: int) -> tuple[EntryChange, ...] | None:
