--- a/packages/coordination/src/pearward_coordination/cold_limit.py
+++ b/packages/coordination/src/pearward_coordination/cold_limit.py
@@ -44,8 +44,7 @@
             self._suspected_at = None
 
     def doubt(self, now: float) -> None:
-        """Note that the target possibly became cold; it counts as cold until it reports
-        otherwise."""
+        """Note that the target possibly became cold and counts as such until it reports."""
         self._suspected_at = now
 
     def sent(self, now: float) -> None:
--- a/packages/coordination/src/pearward_coordination/era_settling.py
+++ b/packages/coordination/src/pearward_coordination/era_settling.py
@@ -30,14 +30,13 @@
         self._ended: set[str] = set()
 
     def over_at(self, instance: str, version: int) -> None:
-        """Record an instance's confirmation for the era of *version*; one for an earlier era is
-        ignored."""
+        """Record an instance's confirmation for the era of *version*, unless that era is past."""
         self._note_era(era_of(version))
         if era_of(version) == self._era:
             self._ended.add(instance)
 
     def waits_for(self, key_map: KeyMap, instances: frozenset[str]) -> frozenset[str]:
-        """Return the instances that have not confirmed this for the era of a map."""
+        """Return the instances without a confirmation for the era of a map."""
         self._note_era(key_map.era)
         return instances - self._ended
 
--- a/packages/coordination/src/pearward_coordination/grants.py
+++ b/packages/coordination/src/pearward_coordination/grants.py
@@ -1,4 +1,4 @@
-"""Which of its service's keys the local target may hold, and for how long.
+"""Decide which keys of its service the local target may hold, and for how long.
 
 A target enforces its own lease: it counts a hold from the moment it sent the heartbeat, on a clock
 that may run slow. Its daemon grants a hold only
@@ -107,8 +107,7 @@
         self._heard = False
         self._ended: set[str] = set()
         self._lingering: dict[str, float] = {}
-        """Former incarnations that may still run, and the time by which all their holds have
-        expired."""
+        """Former incarnations that may still run, with the latest end of all their holds."""
 
     # -- properties -------------------------------------------------------------
 
@@ -276,8 +275,8 @@
     def hold_s(self, received: float) -> float:
         """Return the hold in seconds that a heartbeat received at *received* may be granted.
 
-        The target counts from the earlier time of sending, so its hold ends by ``received + hold *
-        CLOCK_SLACK`` regardless of the response's delay.
+        The target counts from the earlier time of sending, so its hold ends by
+        ``received + hold * CLOCK_SLACK`` regardless of the response's delay.
         """
         within_lease = (self._lease_ends - received) / CLOCK_SLACK
         return min(self._timing.hold_s, within_lease)
@@ -320,8 +319,7 @@
             self._granted.add(HeldRow(first, last, fence))
 
     def first_rows(self, owned: KeyRange) -> list[GrantedRow]:
-        """Return the rows of a range that the target is granted for the first time, one per
-        token."""
+        """Return the rows of a range that is granted for the first time, one per token."""
         rows: list[GrantedRow] = []
         start = owned.first
         for released in self._tokens_for(owned):
@@ -345,7 +343,7 @@
         return []
 
     def _ready(self, owned: KeyRange, now: float) -> bool:
-        """Return whether no other target can hold the range, or has held it under a later fence."""
+        """Return whether no other target can hold the range or has held it under a later fence."""
         if self._has_begun(owned):
             return True
         key_map = self._map
@@ -373,8 +371,7 @@
         return fence if fence == owned.fence else 0
 
     def may_hold(self, first: int, last: int, now: float, below: int = 2**62) -> bool:
-        """Return whether the target possibly holds any of these keys under a fence below
-        *below*."""
+        """Return whether any of these keys is possibly held under a fence below *below*."""
         return self._ledger.may_hold(first, last, now, below)
 
     def pending(self, now: float) -> list[KeyRange]:
--- a/packages/coordination/src/pearward_coordination/hold_ledger.py
+++ b/packages/coordination/src/pearward_coordination/hold_ledger.py
@@ -129,8 +129,7 @@
         return covered(first, last, ((h.first, h.last) for h in held))
 
     def oldest_sent(self, first: int, last: int, fence: int, now: float) -> float | None:
-        """Return the send time of the oldest grant on these keys, or None if one of them is not
-        held."""
+        """Return the send time of the oldest grant on these keys, or None if a key is not held."""
         missing = first
         oldest: float | None = None
         for hold in self._overlapping(first, last):
--- a/packages/coordination/src/pearward_coordination/incarnations.py
+++ b/packages/coordination/src/pearward_coordination/incarnations.py
@@ -117,8 +117,7 @@
         return incarnation is not None and incarnation.presumed
 
     def _served_last(self, target: str) -> str:
-        """Return the newest known incarnation of an id that this process has no heartbeat from
-        yet."""
+        """Return the newest known incarnation of an id without heartbeats to this process."""
         served = [name for name in self._former if target_id(name) == target]
         return served[-1] if served else target
 
--- a/packages/coordination/src/pearward_coordination/keyplan.py
+++ b/packages/coordination/src/pearward_coordination/keyplan.py
@@ -242,8 +242,7 @@
         return _utilisation(target, by_target, rates)
 
     def is_overloaded(target: str) -> bool:
-        """Return whether a target's excess load is significant and high enough to cause
-        queueing."""
+        """Return whether a target's excess load is significant and causes queueing."""
         if used(target) <= max(mean + limits.tolerance, limits.idle_utilisation):
             return False
         excess = (rates[target] - mean * by_target[target].capacity) * seen_s
--- a/packages/coordination/src/pearward_coordination/slots.py
+++ b/packages/coordination/src/pearward_coordination/slots.py
@@ -260,8 +260,7 @@
         return sum(1 for each in self._heap if each.ticket.waiting and each.order[:3] <= sort_key)
 
     def retry_after(self, ticket: SlotTicket, wait_s: float, now: float) -> float:
-        """Return the seconds after which the caller of a request that is refused now should
-        retry."""
+        """Return the seconds after which a request that is refused now should be retried."""
         if not self._limits.policy.uses(Mechanism.RETURNS_IN_TIME):
             return usual_back_after_s(wait_s)
         return back_after_s(
--- a/packages/coordination/src/pearward_coordination/target_witness.py
+++ b/packages/coordination/src/pearward_coordination/target_witness.py
@@ -71,8 +71,7 @@
         )
 
     def _of_earlier_eras(self, ask: AskRelease) -> dict[int, float]:
-        """Return the versions of earlier eras under which owners were renewed, with their lease
-        ends."""
+        """Return the versions of earlier eras with renewed leases, and the ends of these."""
         latest: dict[int, float] = {}
         for grants in self._granted.values():
             for version, until in grants.items():
--- a/packages/coordination/src/pearward_coordination/watchers.py
+++ b/packages/coordination/src/pearward_coordination/watchers.py
@@ -82,8 +82,7 @@
         return not chosen or any(member.instance == self._instance for member in chosen)
 
     def to_ask(self, now: float) -> list[Member]:
-        """Return the watchers in the order of queries, without those that recently did not
-        reply."""
+        """Return the watchers in query order, without those that recently did not reply."""
         others = [m for m in self.chosen if m.instance != self._instance]
         usable = [m for m in others if self._silent.get(m.instance, 0.0) <= now]
         if not usable:
