--- a/packages/coordination/src/pearward_coordination/overload/key_shedding.py
+++ b/packages/coordination/src/pearward_coordination/overload/key_shedding.py
@@ -1,4 +1,4 @@
-"""Shed requests for keys that their owner refuses at the daemon of ingress.
+"""Shed requests at the ingress daemon for keys whose owner refuses them.
 
 The load pattern: one key receives several times the requests that its owner can run. Each request
 crosses a link and costs the owner's daemon as much to refuse as to accept, until that daemon is a
--- a/packages/coordination/src/pearward_coordination/overload/policy.py
+++ b/packages/coordination/src/pearward_coordination/overload/policy.py
@@ -18,7 +18,7 @@
     FEW_LOOKS = "few-looks"
     """A target is chosen as the best of a small random sample."""
     SHED_KEYS = "shed-keys"
-    """Part of the requests for a key that its owner refuses is refused at the daemon of ingress."""
+    """The ingress daemon refuses part of the requests for a key whose owner refuses them."""
     IDLE_FIRST = "idle-first"
     """A target without a free slot is passed over while other targets were not asked yet."""
 
--- a/packages/coordination/src/pearward_coordination/overload/returns.py
+++ b/packages/coordination/src/pearward_coordination/overload/returns.py
@@ -35,8 +35,8 @@
 MIN_SAMPLES = 10
 """Minimum number of requests before the usual allowed time is considered known."""
 MIN_FIRST_TRIES = 0.35
-"""Minimum part of the requests that must be first tries: each is usually retried at most once, and
-more often by few callers. With fewer near the longest time, callers simply differ."""
+"""Minimum part of the requests that must be first tries, as most callers retry at most once. With
+fewer near the longest time, callers simply allow different times."""
 
 
 @dataclass(frozen=True, slots=True)
