--- a/packages/daemon/src/pearward_daemon/mesh/beat_answers.py
+++ b/packages/daemon/src/pearward_daemon/mesh/beat_answers.py
@@ -1,4 +1,4 @@
-"""Answers to the target's heartbeats, held back so that a change of its keys finds one waiting."""
+"""Delivery of grants and releases in delayed responses to the local target's heartbeats."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -12,26 +12,27 @@
 from .dialect import BeatAnswer
 from .log import DecisionLog
 
-__all__ = ["BeatAnswers"]
+__all__ = ["HeartbeatResponses"]
 
-HOLD_BACK_S = 0.75
-"""Seconds for which a heartbeat's answer waits for a change of the target's keys: targets
-take an answer within a second, and a change that finds a waiting answer takes effect at once."""
-GRANT_TAKEN_S = 0.01
-"""Seconds after which a target acts on a written answer; requests for its new keys follow."""
+MAX_RESPONSE_DELAY_S = 0.75
+"""Maximum delay in s of a heartbeat's response, which waits for a change of the target's keys.
+Targets accept a response within one second, and a change takes effect at once if a response is
+pending."""
+GRANT_EFFECT_DELAY_S = 0.01
+"""Seconds from writing a response until the target applies it; requests for new keys follow."""
 
 
 @dataclass(slots=True)
-class _Waiting:
-    """A heartbeat whose answer is held back."""
+class _PendingResponse:
+    """A heartbeat whose response is delayed."""
 
     received: float
-    answer: "Deferred[BeatAnswer]"
+    response: "Deferred[BeatAnswer]"
     timer: Any
 
 
-class BeatAnswers:
-    """Holds back and gives the answers to one target's heartbeats."""
+class HeartbeatResponses:
+    """Delays and sends the responses to one target's heartbeats."""
 
     def __init__(
         self,
@@ -41,51 +42,51 @@
         on_granted: Callable[[], None],
     ) -> None:
         self._reactor = reactor
-        self._keeper = keeper
+        self._grant_manager = keeper
         self._log = log
         self._on_granted = on_granted
-        self._waiting: _Waiting | None = None
+        self._pending: _PendingResponse | None = None
         self._keyed = False
 
     def set_keyed(self, keyed: bool) -> None:
-        """Say whether the target holds keys at all; other targets are answered at once."""
+        """Set whether the target's service is keyed; otherwise responses are not delayed."""
         self._keyed = keyed
 
     def target_changed(self) -> None:
-        """Another incarnation is there: it says itself what it holds."""
-
-    def hold(self, received: float, *, at_once: bool) -> "Deferred[BeatAnswer]":
-        """Return the answer to a heartbeat, which comes now or after a while."""
-        self.give()
-        answer: Deferred[BeatAnswer] = Deferred()
-        timer = self._reactor.callLater(HOLD_BACK_S, self.give)
-        self._waiting = _Waiting(received, answer, timer)
+        """Do nothing: the new incarnation reports the keys it holds in its heartbeats."""
+
+    def respond(self, received: float, *, at_once: bool) -> "Deferred[BeatAnswer]":
+        """Return the response to a heartbeat; it is delayed unless *at_once* or not keyed."""
+        self.deliver()
+        response: Deferred[BeatAnswer] = Deferred()
+        timer = self._reactor.callLater(MAX_RESPONSE_DELAY_S, self.deliver)
+        self._pending = _PendingResponse(received, response, timer)
         if at_once or not self._keyed:
-            self.give()
-        return answer
+            self.deliver()
+        return response
 
-    def give(self) -> None:
-        """Answer the heartbeat that waits, with what its target is to hold now."""
-        waiting, self._waiting = self._waiting, None
-        if waiting is None:
+    def deliver(self) -> None:
+        """Answer the pending heartbeat with the keys that its target may hold now."""
+        pending, self._pending = self._pending, None
+        if pending is None:
             return
-        if waiting.timer.active():
-            waiting.timer.cancel()
-        waiting.answer.callback(self._answer(waiting.received))
+        if pending.timer.active():
+            pending.timer.cancel()
+        pending.response.callback(self._response(pending.received))
 
-    def _answer(self, received: float) -> BeatAnswer:
+    def _response(self, received: float) -> BeatAnswer:
         if not self._keyed:
             return BeatAnswer()
         now = boot_time()
-        granted = self._keeper.grant(received, now)
+        granted = self._grant_manager.grant(received, now)
         if granted is None:
-            key_map = self._keeper.key_map
+            key_map = self._grant_manager.key_map
             self._log.decided(
-                "hold_not_renewed", target=self._keeper.target,
+                "hold_not_renewed", target=self._grant_manager.target,
                 map=key_map.version if key_map is not None else 0,
-                lease_left_s=round(self._keeper.lease_ends - now, 3),
+                lease_left_s=round(self._grant_manager.lease_ends - now, 3),
             )  # fmt: skip
             return BeatAnswer()
         rows, hold_s = granted
-        self._reactor.callLater(GRANT_TAKEN_S, self._on_granted)
+        self._reactor.callLater(GRANT_EFFECT_DELAY_S, self._on_granted)
         return BeatAnswer(tuple(rows), hold_s)
--- a/packages/daemon/src/pearward_daemon/mesh/crash_guard.py
+++ b/packages/daemon/src/pearward_daemon/mesh/crash_guard.py
@@ -1,7 +1,7 @@
-"""Which requests the target beside this daemon may run, by what crashed targets lately.
+"""Quarantine of requests at the local target, based on recent crashes of targets.
 
-Stands between a request that has a slot and the target: requests in quarantine go no further.
-It also finds out what the target was running when it crashed, and says so.
+It rejects quarantined requests that already have a slot, before they are sent to the target. It
+also determines which requests the target was running when it crashed, and reports them.
 """
 
 from collections.abc import Callable
@@ -15,31 +15,31 @@
 
 from .log import DecisionLog
 
-__all__ = ["Barred", "CrashGuard", "GuardedRequest"]
+__all__ = ["CrashGuard", "GuardedRequest", "QuarantineRejection"]
 
 
-_LEFT_OFF = frozenset({Reason.SERVER_FAILED, Reason.CANCELLED, Reason.DEADLINE})
-"""Ends of requests that the target may have been working on until then."""
+_ABORTED_REASONS = frozenset({Reason.SERVER_FAILED, Reason.CANCELLED, Reason.DEADLINE})
+"""Reasons with which a request ends while the target may still be processing it."""
 
 
 class GuardedRequest(Protocol):
-    """A request for the target beside this daemon."""
+    """A request for the local target."""
 
     @property
     def content(self) -> str:
-        """What it asks for, the same for every id under which it comes."""
+        """Digest of what it asks for, the same for every request id."""
 
 
 @dataclass(frozen=True, slots=True)
-class Barred:
-    """Why a request may not run, and when its caller may come back."""
+class QuarantineRejection:
+    """The reason to reject a request, and the seconds after which its caller may retry."""
 
     detail: str
     back_after_s: float
 
 
 class CrashGuard:
-    """The crashes of one daemon's targets, and the requests that are kept from them."""
+    """Detects crashes of the local target, and rejects requests that are quarantined."""
 
     def __init__(
         self,
@@ -51,23 +51,25 @@
         self._log = log
         self._on_crash = on_crash
         self._broken = BrokenExchanges()
-        self._ran: set[str] = set()
-        """Contents that crashes were held against until the present target ran them to an end."""
-        self._alone: GuardedRequest | None = None
-        """The one suspected request that the target runs."""
+        self._completed: set[str] = set()
+        """Contents that the current target completed after crashes had been attributed to them."""
+        self._running_suspect: GuardedRequest | None = None
+        """The suspected request that the target runs; at most one at a time."""
 
     @property
     def doubts_target(self) -> bool:
-        """Whether the target broke exchanges off and has not shown since that it lives."""
+        """Whether the target aborted exchanges and has not been seen alive since."""
         return self._broken.by_target
 
     # -- requests -----------------------------------------------------------------
 
-    def barred(self, request: GuardedRequest, usual_s: float, now: float) -> Barred | None:
-        """Return why a request may not be sent to the target now; None where it may.
+    def barred(
+        self, request: GuardedRequest, usual_s: float, now: float
+    ) -> QuarantineRejection | None:
+        """Return why a request may not be sent to the target now, or None if it may.
 
-        A suspected one is taken for running from then on. *usual_s* is the time in s that the
-        target's requests take.
+        A suspected request that is accepted counts as running from then on. *usual_s* is the
+        usual processing time of the target's requests in s.
         """
         if not self._quarantine:
             return None
@@ -76,11 +78,13 @@
             case Standing.FREE:
                 return None
             case Standing.REFUSED:
-                return Barred(f"content {content}", self._quarantine.left_s(content, now))
+                return QuarantineRejection(
+                    f"content {content}", self._quarantine.left_s(content, now)
+                )
             case Standing.ALONE:
-                if self._alone is not None and self._alone is not request:
-                    return Barred("another suspected request runs", usual_s)
-                self._alone = request
+                if self._running_suspect is not None and self._running_suspect is not request:
+                    return QuarantineRejection("another suspected request runs", usual_s)
+                self._running_suspect = request
                 return None
 
     def ended(
@@ -91,47 +95,49 @@
         reason: Reason | None,
         now: float,
     ) -> str:
-        """Take the end of a request; return its content where it was at the target till then."""
-        if self._alone is request:
-            self._alone = None
+        """Record the end of a request; return its content if the target was running it, else ""."""
+        if self._running_suspect is request:
+            self._running_suspect = None
         if outcome is Outcome.SERVED:
             self._broken.answered(now)
-            self._note_ran(request)
+            self._note_completed(request)
             return ""
-        if outcome is not Outcome.UNKNOWN or reason not in _LEFT_OFF:
+        if outcome is not Outcome.UNKNOWN or reason not in _ABORTED_REASONS:
             return ""
         content = request.content
         by_target = reason is Reason.SERVER_FAILED
         self._broken.broke(BrokenExchange(request_id, content, now, by_target))
         return content
 
-    def _note_ran(self, request: GuardedRequest) -> None:
-        """Clear a request that the target has run to an end."""
+    def _note_completed(self, request: GuardedRequest) -> None:
+        """Clear the suspicion of a request that the target has completed."""
         if self._quarantine and self._quarantine.ran(request.content):
-            self._ran.add(request.content)
+            self._completed.add(request.content)
 
     # -- the target -----------------------------------------------------------------
 
-    def target_listens(self, now: float) -> None:
-        """A connection to the target could be made: it lives."""
+    def target_listening(self, now: float) -> None:
+        """Record that the target accepted a connection: it is running."""
         self._broken.answered(now)
 
     def target_began(self) -> None:
-        """Another incarnation of the target is beside this daemon."""
-        self._ran.clear()
+        """Handle a new incarnation of the target."""
+        self._completed.clear()
 
     def target_left(self, now: float) -> None:
-        """The target ended after it had said so: what broke off does not tell anything."""
+        """Handle an announced termination: aborted exchanges are no evidence of a crash."""
         self._broken.take(now)
 
     def target_crashed(self, target: str, shown_by: str, now: float, unix_now: float) -> None:
-        """The target ended without notice: hold it against what it was running."""
+        """Handle a crash: report the contents that the target was running."""
         broken = self._broken.take(now)
         self._log.decided(
             "target_crashed", failure=True, target=target, shown_by=shown_by,
             requests=[exchange.request_id for exchange in broken],
             contents=[exchange.content for exchange in broken],
         )  # fmt: skip
-        contents = tuple(dict.fromkeys(b.content for b in broken if b.content not in self._ran))
+        contents = tuple(
+            dict.fromkeys(b.content for b in broken if b.content not in self._completed)
+        )
         if contents:
             self._on_crash(CrashRecord(target, unix_now, contents))
--- a/packages/daemon/src/pearward_daemon/mesh/drain_control.py
+++ b/packages/daemon/src/pearward_daemon/mesh/drain_control.py
@@ -1,8 +1,8 @@
-"""Puts the operators' drains of failure domains in force at this daemon.
+"""Applies the operators' drains of failure domains at this daemon.
 
-Entries come from the store or, where it does not answer, from a daemon that follows it. The
-directory then offers no target there, the planner gives those targets no keys, and the target
-beside this daemon is barred if it is one of them.
+Entries are read from the store or, if it is unavailable, from a daemon that watches it. The
+directory then offers no targets in a drained domain, the planner assigns them no keys, and the
+local target is rejected if it is one of them.
 """
 
 from collections.abc import Callable, Iterable, Mapping
@@ -19,51 +19,51 @@
 
 __all__ = ["DrainControl"]
 
-InForce = Callable[[Mapping[str, float]], None]
-"""Takes the drained failure domains, and since when each is, after each change."""
+OnChange = Callable[[Mapping[str, float]], None]
+"""Called after each change with the drained failure domains and the start of each drain."""
 
 
 class DrainControl:
-    """The drains of failure domains, read strictly and put in force."""
+    """Validates the drains of failure domains and applies them."""
 
     def __init__(
-        self, known_domains: frozenset[str], dialect: Dialect, log: DecisionLog, in_force: InForce
+        self, known_domains: frozenset[str], dialect: Dialect, log: DecisionLog, on_change: OnChange
     ) -> None:
         self._known_domains = known_domains
         self._dialect = dialect
         self._log = log
-        self._in_force = in_force
+        self._on_change = on_change
         self._view = DrainView()
 
     @property
     def state(self) -> DomainDrains:
-        """What is in force, as others are told."""
+        """Drains in force, as sent to other daemons."""
         return self._view.state
 
     def entries_read(self, items: Iterable[KeyValue], revision: int) -> None:
-        """Take all entries as they were read at once."""
+        """Replace the state by all entries, read at one revision."""
         domains = [d for item in items if (d := self._domain(item.key, item.value)) is not None]
-        self._put_in_force(self._view.read(domains, revision, boot_time()), "read")
+        self._apply(self._view.read(domains, revision, boot_time()), "read")
 
     def entry_changed(self, event: WatchEvent) -> None:
-        """Take one changed entry; one that cannot be read changes nothing."""
+        """Apply one changed entry; an invalid one is logged and ignored."""
         domain = self._domain(event.key, event.value)
         if domain is None:
             return
         drained = event.value is not None
         changed = self._view.changed(domain, event.revision, boot_time(), drained=drained)
-        self._put_in_force(changed, "watched")
+        self._apply(changed, "watched")
 
     def complete_to(self, revision: int) -> None:
-        """All changes up to a revision have been taken."""
+        """Record that all changes up to *revision* have been applied."""
         self._view.complete_to(revision)
 
     def told(self, state: DomainDrains) -> None:
-        """Take what another daemon knows, if that is newer."""
-        self._put_in_force(self._view.told(state, boot_time()), "told by another daemon")
+        """Apply the state of another daemon if it is newer."""
+        self._apply(self._view.told(state, boot_time()), "sent by another daemon")
 
     def _domain(self, key: str, value: bytes | None) -> str | None:
-        """Return the failure domain of an entry, or None where it names none to drain."""
+        """Return the failure domain of an entry; log an invalid entry and return None."""
         domain = key.removeprefix(DRAINS)
         unknown = self._known_domains and domain not in self._known_domains
         try:
@@ -76,11 +76,11 @@
             return None
         return domain
 
-    def _put_in_force(self, changed: bool, how: str) -> None:
+    def _apply(self, changed: bool, how: str) -> None:
         if not changed:
             return
         state = self._view.state
         self._log.decided(
             "drains_in_force", domains=sorted(state.domains), revision=state.revision, how=how
         )
-        self._in_force(self._view.since)
+        self._on_change(self._view.since)
--- a/packages/daemon/src/pearward_daemon/mesh/key_map_entry.py
+++ b/packages/daemon/src/pearward_daemon/mesh/key_map_entry.py
@@ -1,8 +1,8 @@
 """The key map of one service in the platform's store, as its planner reads and writes it.
 
-It is written by compare-and-swap: two daemons that both believe to have the planner's duty do
-no harm. An entry that another writer spoiled never replaces a map that is known here, nor does
-one that the store has from before an older copy of it came back: that is numbered anew first.
+It is written by compare-and-swap, so two daemons that both act as the planner do no harm. A
+known map is never replaced by an entry that another writer corrupted, nor by one from an earlier
+era of the store, before it was restored from an older copy: that is renumbered first.
 """
 
 from collections.abc import Callable
@@ -23,17 +23,17 @@
 
 __all__ = ["KeyMapEntry"]
 
-ERAS_MARKED = 8
-"""Eras of the store, up to the present one, that are marked when one begins: a write may be done
-some seconds after it was sent, and the store may go back twice in that time."""
+MARKED_ERAS = 8
+"""Number of eras, up to the current one, that are marked in the store when an era starts. A write
+may be executed seconds after it was sent, and the store may be restored twice in that time."""
 
-MakeAnew = Callable[[int], KeyMap | None]
-"""Takes a number that is above all versions and fences ever given; returns a map under it, or None
-while somebody may yet hold keys by a former one."""
+RebuildMap = Callable[[int], KeyMap | None]
+"""Takes a number above all versions and fences ever issued; returns a map with that number, or None
+while keys may still be held under a former map."""
 
 
 class KeyMapEntry:
-    """One service's entry."""
+    """Reads and writes the key map entry of one service."""
 
     def __init__(
         self,
@@ -41,28 +41,28 @@
         store: FleetStore,
         key_maps: KeyMaps,
         log: DecisionLog,
-        spread: Callable[[KeyMap], None],
+        distribute: Callable[[KeyMap], None],
     ) -> None:
         self._service = service
         self._key = key_map_key(service)
         self._store = store
         self._maps = key_maps
         self._log = log
-        self._spread = spread
+        self._distribute = distribute
         self._revision = 0
-        """Revision of the entry in the store; 0 while it is not known."""
+        """Revision of the entry in the store; 0 while unknown."""
 
-    def forget(self) -> None:
-        """Read the entry anew before anything is planned by it."""
+    def invalidate(self) -> None:
+        """Make the next read() load the entry from the store again."""
         self._revision = 0
 
-    async def read(self, make_anew: MakeAnew, *, told: bool) -> KeyMap | None:
-        """Return the map as the store has it, or None; read once, then known by its revision.
+    async def read(self, rebuild_map: RebuildMap, *, era_settled: bool) -> KeyMap | None:
+        """Return the map in the store, or None; read once, then cached by its revision.
 
-        A map of an earlier era of the store, or an older one than is known here, is written anew
-        under the next number, once *told* says that others have had time to tell of theirs.
-        Raises MapNotSettled before, what the store raises, and PlatformUnavailable while a
-        spoiled entry stands.
+        A map of an earlier era of the store, or older than the known one, is written again under
+        the next number once *era_settled* is true: others have had time to report newer maps.
+        Raises MapNotSettled before that, the store's errors, and PlatformUnavailable while the
+        entry is corrupt and cannot be rebuilt.
         """
         known = self._maps.of(self._service)
         if self._revision and known is not None and known.era == self._store.era:
@@ -74,12 +74,12 @@
             found = self._decoded(item) if item is not None else None
         except InvalidRecord as error:
             assert item is not None
-            return await self._restored(known, item, make_anew, error, era)
+            return await self._restored(known, item, rebuild_map, error, era)
         newest = max(filter(None, (known, found)), key=lambda m: m.version, default=None)
         if newest is None:
             return None
         current = found is not None and found.version == newest.version and found.era == era
-        if not current and not told:
+        if not current and not era_settled:
             raise MapNotSettled(f"{self._key}: version {newest.version} in era {era}")
         self._log.decided(
             "key_map_read", service=self._service, era=era,
@@ -90,9 +90,9 @@
         )  # fmt: skip
         self._revision = item.revision if item is not None else 0
         if not current:
-            return await self._numbered_anew(newest, era, "the store went back")
+            return await self._renumbered(newest, era, "the store went back")
         self._maps.adopt(newest)
-        self._spread(newest)
+        self._distribute(newest)
         return newest
 
     def _decoded(self, item: KeyValue) -> KeyMap:
@@ -105,14 +105,14 @@
         self,
         known: KeyMap | None,
         item: KeyValue,
-        make_anew: MakeAnew,
+        rebuild_map: RebuildMap,
         error: InvalidRecord,
         era: int,
     ) -> KeyMap:
-        """Write the known map over an entry that another writer spoiled.
+        """Write the known or rebuilt map over an entry that another writer corrupted.
 
-        Each version and each fence of an era cost a write of the store in it: its revision is
-        above all of them.
+        Each version and fence of an era took a write to the store in that era, so the entry's
+        revision is above all of them.
         """
         self._log.decided(
             "key_map_unreadable", failure=True, key=item.key, error=str(error),
@@ -120,15 +120,17 @@
         )  # fmt: skip
         self._revision = item.revision
         if known is not None:
-            return await self._numbered_anew(known, era, "restored")
-        restored = make_anew(next_number(first_of(era) + counted(item.revision), era))
+            return await self._renumbered(known, era, "restored")
+        restored = rebuild_map(next_number(first_of(era) + counted(item.revision), era))
         if restored is None:
-            raise PlatformUnavailable(f"{item.key} cannot be read, and no map is known") from error
+            raise PlatformUnavailable(
+                f"{item.key} cannot be decoded, and no map is known"
+            ) from error
         await self.write(restored, "restored")
         return restored
 
-    async def _numbered_anew(self, key_map: KeyMap, era: int, why: str) -> KeyMap:
-        """Write a map that the store does not have, or has from an earlier era, once more."""
+    async def _renumbered(self, key_map: KeyMap, era: int, why: str) -> KeyMap:
+        """Write a map under a new number if the store lacks it or has it from an earlier era."""
         number = next_number(key_map.version, era)
         renewed = replace(
             key_map, version=number, fence=max(key_map.fence, first_of(era)),
@@ -138,12 +140,12 @@
         return renewed
 
     async def write(self, planned: KeyMap, why: str) -> None:
-        """Write a map, act on it and tell the others; raises what the store raises."""
+        """Write a map, adopt it and distribute it; raises the store's errors."""
         era = planned.era
-        marks = range(max(1, era - ERAS_MARKED + 1), era + 1) if self._begins(planned) else ()
+        marks = range(max(1, era - MARKED_ERAS + 1), era + 1) if self._starts_era(planned) else ()
         self._revision = await self._store.commit(
-            # A write that is done only after the store went back must not replace a later map,
-            # though its condition holds: revisions are given out again.
+            # A write that is executed only after the store was restored must not replace a
+            # later map: revisions are reused, so the condition on the revision may hold.
             [Expectation(self._key, self._revision), Expectation(era_key(era + 1), 0)],
             [Put(self._key, encode_key_map(planned)), *(Put(era_key(e), b"") for e in marks)],
         )
@@ -156,9 +158,9 @@
             revision=self._revision, era=era, unsettled=planned.unsettled,
         )  # fmt: skip
         self._maps.adopt(planned)
-        self._spread(planned)
+        self._distribute(planned)
 
-    def _begins(self, planned: KeyMap) -> bool:
-        """Return whether a map is the first one here in an era of the store."""
+    def _starts_era(self, planned: KeyMap) -> bool:
+        """Return whether a map is the first one known to this daemon in its era."""
         known = self._maps.of(self._service)
         return known is None or known.era < planned.era
--- a/packages/daemon/src/pearward_daemon/mesh/target_side.py
+++ b/packages/daemon/src/pearward_daemon/mesh/target_side.py
@@ -1,4 +1,4 @@
-"""The target beside this daemon: its heartbeats, its keys, its slots and its requests."""
+"""The local target of a daemon: its heartbeats, keys, slots and requests."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, replace
@@ -21,39 +21,40 @@
 from pearward_transport.http_client import ServerClient
 
 from ..exchange import ReplySink
-from .beat_answers import BeatAnswers
+from .beat_answers import HeartbeatResponses
 from .call_delivery import CallDelivery
-from .crash_guard import Barred, CrashGuard
+from .crash_guard import CrashGuard, QuarantineRejection
 from .dialect import AnswerFacts, BeatAnswer, Dialect, GrantPort, TargetBeat, TargetLeave
 from .grant_delivery import GrantDelivery
 from .log import DecisionLog
 from .parked_requests import ParkedRequests
 from .settings import GrantWay, MeshSettings
-from .target_end import END_CHECK_S, TargetEnd
+from .target_end import END_CHECK_S, TerminationDetector
 from .target_request import TargetRequest
 from .target_slots import TargetSlots
 
-__all__ = ["TargetInfo", "TargetSide", "TargetSideListener"]
+__all__ = ["LocalTargetListener", "TargetInfo", "TargetSide"]
 
-LATE_S = 4.0
-"""Seconds without a heartbeat after which a target counts as leaving: they may be late by
-seconds, and a target that is gone is found out sooner by its connections."""
-DRAIN_SHARE = 0.6
-"""Part of the drain time in which a leaving target still gets requests that are on their way."""
+HEARTBEAT_TIMEOUT_S = 4.0
+"""Seconds without a heartbeat after which a target is published as draining. Heartbeats may be
+late by seconds; a terminated target is detected sooner by its connections."""
+DRAIN_FRACTION = 0.6
+"""Fraction of the drain time in which a draining target still accepts requests in transit."""
 MOVED_RETRY_S = 0.05
-"""Seconds after which the owner of a key is asked again."""
-COLD_ESTIMATE_S = 1.0
-"""Seconds by which a target's own estimate of its cold time must differ to be told anew."""
-UNREADABLE_KEPT = 64
-"""Ids of unreadable heartbeats that are told of: more come from no target."""
+"""Seconds after which a caller should retry a request that was refused as moved."""
+COLD_ESTIMATE_TOLERANCE_S = 1.0
+"""Seconds by which a target's estimate of its cold time must change to be published again."""
+MAX_LOGGED_IDS = 64
+"""Number of target ids for which an unreadable heartbeat is logged; real targets do not use
+more than these."""
 MS_PER_S = 1000
-BACK_S = 1.2
-"""Seconds after which a daemon that ends now serves its target again."""
+RESTART_S = 1.2
+"""Seconds until a daemon that shuts down now is restarted and serves its target again."""
 
 
 @dataclass(frozen=True, slots=True)
 class TargetInfo:
-    """What this daemon tells the others of its target."""
+    """State of the local target as published to other daemons."""
 
     target: str
     slots: int
@@ -61,24 +62,24 @@
     cold_until: float
 
 
-class TargetSideListener(Protocol):
-    """What is told of the target beside this daemon."""
+class LocalTargetListener(Protocol):
+    """Receives changes of the local target."""
 
     def target_info_changed(self, info: TargetInfo | None) -> None:
-        """The target began, changed or ended (None)."""
+        """Handle a target that started, changed or terminated (None)."""
 
     def keys_changed(self) -> None:
-        """The target let keys go, or its keys can be asked for anew."""
+        """Handle keys that the target released, or a new set of keys that it owns."""
 
     def keys_wanted(self) -> None:
-        """Predecessors have to be asked for keys."""
+        """Request keys from their predecessors."""
 
     def map_wanted(self) -> None:
-        """The target has seen a newer key map than this daemon."""
+        """Fetch the key map: the target has seen a newer one than this daemon."""
 
 
 class TargetSide:
-    """Everything that concerns the target beside this daemon."""
+    """Manages the local target: heartbeats, key grants, slots and requests."""
 
     def __init__(
         self,
@@ -96,16 +97,16 @@
         self._dialect = dialect
         self._log = log
         self._client = client
-        self._keeper = GrantKeeper(settings.service, boot_time(), settings.holds)
+        self._grant_manager = GrantKeeper(settings.service, boot_time(), settings.holds)
         self._slots = TargetSlots(settings.overload, link)
         self._counter = KeyCounter()
         self._link = link
         self._open: set[TargetRequest] = set()
         self._parked = ParkedRequests()
         self._guard = guard
-        self._end = TargetEnd(client, self._target_listens, self._target_ended)
-        self._delivery = self._delivery_of(settings.grant_way, grants)
-        self._beats = BeatClock()
+        self._termination = TerminationDetector(client, self._target_listening, self._target_ended)
+        self._delivery = self._make_delivery(settings.grant_way, grants)
+        self._incarnations = BeatClock()
         self._info: TargetInfo | None = None
         self._keyed = False
         self._drained_since: float | None = None
@@ -113,65 +114,67 @@
         self._silent = False
         self._stopping = False
         self._refusing = False
-        self._listener: TargetSideListener | None = None
+        self._listener: LocalTargetListener | None = None
         self._reported_ended: list[str] = []
         self._slowness = 1.0
         self._unreadable: set[str] = set()
-        """Ids whose heartbeats could not be read, told once each."""
+        """Ids whose unreadable heartbeats have been logged; each is logged once."""
 
-    def _delivery_of(self, way: GrantWay, grants: GrantPort) -> GrantDelivery:
-        if way is GrantWay.CALL:
+    def _make_delivery(self, mode: GrantWay, grants: GrantPort) -> GrantDelivery:
+        if mode is GrantWay.CALL:
             return CallDelivery(
-                self._reactor, self._keeper, grants, self._log, self._parked.admit,
-                self._keys_let_go, self._map_wanted, self._other_target_there,
+                self._reactor, self._grant_manager, grants, self._log, self._parked.admit,
+                self._keys_released, self._map_outdated, self._other_target_found,
             )  # fmt: skip
-        return BeatAnswers(self._reactor, self._keeper, self._log, self._parked.admit_all)
+        return HeartbeatResponses(
+            self._reactor, self._grant_manager, self._log, self._parked.admit_all
+        )
 
     # -- properties -------------------------------------------------------------
 
     @property
     def client(self) -> ServerClient:
-        """Connections to the target."""
+        """Client that holds the connections to the target."""
         return self._client
 
     @property
     def keeper(self) -> GrantKeeper:
-        """What the target may hold."""
-        return self._keeper
+        """Manager of the keys that are granted to the target."""
+        return self._grant_manager
 
     @property
     def slots(self) -> TargetSlots:
-        """Which requests run at the target, and which wait."""
+        """Slots of the target, with running and queued requests."""
         return self._slots
 
     @property
     def info(self) -> TargetInfo | None:
-        """What the others are told; None while there is no target."""
+        """Published state of the target; None while there is no target."""
         return self._info
 
     @property
     def map_version(self) -> int:
-        """Version of the key map that is acted on; 0 before there is one."""
-        key_map = self._keeper.key_map
+        """Version of the key map in use; 0 before there is one."""
+        key_map = self._grant_manager.key_map
         return key_map.version if key_map is not None else 0
 
     @property
     def slowness(self) -> float:
-        """Time that the target's work takes over its usual time, as it told last."""
+        """Ratio of the target's current to its usual processing time, as it last reported."""
         return self._slowness
 
     @property
     def drained_since(self) -> float | None:
-        """Since when the failure domain is drained, in s of the steady clock; None if not."""
+        """Start of the failure domain's drain in s of the steady clock; None if not drained."""
         return self._drained_since
 
     @property
     def open_requests(self) -> int:
-        """Requests that are not answered yet."""
+        """Number of requests without a complete response."""
         return len(self._open)
 
-    def listen(self, listener: TargetSideListener) -> None:
-        """Tell *listener* of changes from now on."""
+    def listen(self, listener: LocalTargetListener) -> None:
+        """Notify *listener* of changes, and start to watch the target process."""
         self._listener = listener
         self._reactor.callLater(END_CHECK_S, self._watch_target)
 
@@ -182,57 +185,59 @@
     # -- heartbeats -------------------------------------------------------------------
 
     def beat(self, beat: TargetBeat) -> "Deferred[BeatAnswer]":
-        """Take a heartbeat; its answer may wait for a change of the target's keys."""
+        """Process a heartbeat; its response may be delayed until the target's keys change."""
         now = boot_time()
         if beat.service != self._settings.service:
             self.unreadable_beat(beat.target, f"service {beat.service!r} does not run here")
             return succeed(BeatAnswer())
         told = self._settings.grant_way is GrantWay.HEARTBEAT
         sign = BeatSign(beat.target, beat.born_ms, beat.sequence, told and not beat.held)
-        incarnation = self._beats.incarnation_of(sign, now, round(unix_time() * MS_PER_S))
+        incarnation = self._incarnations.incarnation_of(sign, now, round(unix_time() * MS_PER_S))
         if incarnation is None:
             return succeed(BeatAnswer())
         beat = replace(beat, target=incarnation)
-        if self._keeper.has_ended(beat.target) or self._is_from_the_past(beat, now):
+        if self._grant_manager.has_ended(beat.target) or self._is_stale(beat, now):
             self._log.decided(
                 "late_heartbeat_ignored", target=beat.target, sequence=beat.sequence,
-                present=self._keeper.target, heard_s=round(now - self._beats.last, 3),
+                present=self._grant_manager.target, heard_s=round(now - self._incarnations.last, 3),
             )  # fmt: skip
             return succeed(BeatAnswer())
-        self._beats.heard(now)
+        self._incarnations.heard(now)
         self._silent = False
-        self._end.shown_alive()
-        if beat.target != self._keeper.target:
-            self._target_began(beat)
-        self._keeper.heartbeat(now, beat.held, beat.released)
+        self._termination.heartbeat_received()
+        if beat.target != self._grant_manager.target:
+            self._begin_incarnation(beat)
+        self._grant_manager.heartbeat(now, beat.held, beat.released)
         self._slots.cold.told(beat.cold_s, now)
-        self._note_state(beat, now)
+        self._update_state(beat, now)
         if beat.released and self._listener is not None:
             self._listener.keys_changed()
-        answer = self._delivery.hold(
+        response = self._delivery.respond(
             now, at_once=bool(beat.released) or self._leaving_since is not None
         )
         self.reconsider()
-        return answer
+        return response
 
     def unreadable_beat(self, target: str, error: str) -> None:
-        """A heartbeat cannot be read: it names no target to use, and changes nothing."""
-        if target not in self._unreadable and len(self._unreadable) < UNREADABLE_KEPT:
+        """Log an unreadable heartbeat once for each target id; it changes nothing else."""
+        if target not in self._unreadable and len(self._unreadable) < MAX_LOGGED_IDS:
             self._unreadable.add(target)
             self._log.decided("heartbeat_unreadable", failure=True, target=target, error=error)
 
-    def _is_from_the_past(self, beat: TargetBeat, now: float) -> bool:
-        """Whether a heartbeat is a late one of a former target."""
-        present = self._keeper.target
+    def _is_stale(self, beat: TargetBeat, now: float) -> bool:
+        """Return whether a heartbeat is a delayed one of a former target."""
+        present = self._grant_manager.target
         if not present or beat.target == present:
             return False
         if target_id(beat.target) == target_id(present):
-            # The later life of one id: an earlier one's heartbeats were sorted out before.
+            # A later incarnation of this id: those of earlier ones were already filtered out.
             return False
-        return self._beats.is_from_the_past(beat.sequence, self._client.open_connections, now)
+        return self._incarnations.is_from_the_past(
+            beat.sequence, self._client.open_connections, now
+        )
 
     def leave(self, leave: TargetLeave) -> None:
-        """The target says that it ends soon, without heartbeats from now on."""
+        """Mark the target as draining: it announced its end and sends no more heartbeats."""
         if self._info is None or leave.target != target_id(self._info.target):
             return
         self._log.decided("target_leaves", target=self._info.target, how="without notice")
@@ -240,16 +245,16 @@
             self._leaving_since = boot_time()
         self._publish_state()
 
-    def _target_began(self, beat: TargetBeat) -> None:
-        former = self._keeper.target
+    def _begin_incarnation(self, beat: TargetBeat) -> None:
+        former = self._grant_manager.target
         if former:
-            self._note_end(former, "its next life beats")
+            self._record_end(former, "heartbeat of its next incarnation")
         self._guard.target_began()
         same_id = bool(former) and target_id(former) == target_id(beat.target)
-        if same_id and self._beats.is_supposed(target_id(beat.target)):
-            self._keeper.target_supposed(beat.target, boot_time())
+        if same_id and self._incarnations.is_supposed(target_id(beat.target)):
+            self._grant_manager.target_supposed(beat.target, boot_time())
         else:
-            self._keeper.target_changed(beat.target)
+            self._grant_manager.target_changed(beat.target)
             if former:
                 self._reported_ended.append(former)
         self._delivery.target_changed()
@@ -261,14 +266,14 @@
             sequence=beat.sequence,
         )  # fmt: skip
 
-    def _note_state(self, beat: TargetBeat, now: float) -> None:
-        """Publish what the heartbeat changed."""
+    def _update_state(self, beat: TargetBeat, now: float) -> None:
+        """Publish the state of the target if a heartbeat changed it."""
         if beat.state is TargetState.DRAINING and self._leaving_since is None:
             self._log.decided("target_leaves", target=beat.target, how="draining")
             self._leaving_since = now
         cold_until = unix_time() + beat.cold_s if beat.cold_s > 0.0 else 0.0
         if self._info is not None and self._info.target == beat.target:
-            cold_until = _settled_estimate(self._info.cold_until, cold_until)
+            cold_until = _stable_estimate(self._info.cold_until, cold_until)
         self._publish(TargetInfo(beat.target, beat.slots, self._state(), cold_until))
 
     def _state(self) -> TargetState:
@@ -289,94 +294,97 @@
             self._publish(TargetInfo(info.target, info.slots, self._state(), info.cold_until))
 
     def stop(self) -> None:
-        """This daemon stops: let others have the target's work, unless only it holds the keys."""
+        """Stop this daemon; publish the target as draining unless its service is keyed.
+
+        Other targets cannot serve its keys in the meantime.
+        """
         self._stopping = True
         self._publish_state()
         self.reconsider()
 
     def reconsider(self) -> None:
-        """Answer a waiting heartbeat now if the target's keys are to change."""
+        """Deliver due grants and releases, request missing keys, re-evaluate parked requests."""
         now = boot_time()
-        keeper = self._keeper
+        keeper = self._grant_manager
         if keeper.must_let_go(now) or keeper.ready_to_begin(now) or self._stopping:
-            self._delivery.give()
-        self._note_pending(now)
+            self._delivery.deliver()
+        self._request_pending(now)
         self._parked.admit_all()
 
-    def _note_pending(self, now: float) -> None:
-        """Ask for keys that others still have; log how long they were waited for."""
-        pending = self._keeper.pending(now)
+    def _request_pending(self, now: float) -> None:
+        """Request keys that predecessors still hold; log the waiting time once all are released."""
+        pending = self._grant_manager.pending(now)
         if pending:
             self._parked.gap.begun(now)
             if self._listener is not None:
                 self._listener.keys_wanted()
         elif (waited_s := self._parked.gap.ended(now)) is not None:
             self._log.decided(
-                "keys_released_by_others", target=self._keeper.target, map=self.map_version,
+                "keys_released_by_others", target=self._grant_manager.target, map=self.map_version,
                 waited_s=round(waited_s, 3), parked=len(self._parked),
             )  # fmt: skip
 
     def refuse_new(self) -> None:
-        """Begin no further request at the target: this daemon ends in a moment."""
+        """Refuse new requests for the target because this daemon is about to shut down."""
         self._refusing = True
 
     # -- keys ------------------------------------------------------------------------
 
     def set_rules(self, rules: ServiceRules | None) -> None:
-        """Take what the configuration says of the target's service."""
+        """Apply the configuration of the target's service."""
         self._keyed = rules is not None and rules.keyed
         self._delivery.set_keyed(self._keyed)
         per_s = rules.cold_per_s if rules is not None else 0.0
         self._slots.cold.set_rate(per_s * self._settings.cold_overage)
 
     def set_drained(self, since: float | None) -> None:
-        """Take since when the target's failure domain is drained; None where it is not.
+        """Set when the drain of the target's failure domain began; None if it is not drained.
 
-        Targets turn cold while nothing is sent to them; a heartbeat tells it later.
+        A target without requests may turn cold, and its heartbeat reports this only later.
         """
         if since is None and self._drained_since is not None:
             self._slots.cold.doubt(boot_time())
         self._drained_since = since
 
     def adopt(self, key_map: KeyMap) -> None:
-        """Act on a newer key map."""
-        if not self._keeper.adopt(key_map, boot_time()):
+        """Adopt a newer key map."""
+        if not self._grant_manager.adopt(key_map, boot_time()):
             return
-        owned = key_map.owned_by(self._keeper.target)
+        owned = key_map.owned_by(self._grant_manager.target)
         self._log.decided(
             "key_map_adopted", service=key_map.service, version=key_map.version,
             ranges=len(owned), keys=sum(r.size for r in owned),
-            pending=len(self._keeper.pending(boot_time())),
+            pending=len(self._grant_manager.pending(boot_time())),
         )  # fmt: skip
         self.reconsider()
         if self._listener is not None:
             self._listener.keys_changed()
 
     def released_elsewhere(self, predecessor: Predecessor, rows: tuple[ReleasedRow, ...]) -> None:
-        """A predecessor let keys go that are to be this target's."""
+        """Record the release of keys by a predecessor of the local target."""
         for row in rows:
-            self._keeper.released(predecessor, row)
+            self._grant_manager.released(predecessor, row)
         self.reconsider()
 
-    def _keys_let_go(self) -> None:
+    def _keys_released(self) -> None:
         if self._listener is not None:
             self._listener.keys_changed()
 
-    def _other_target_there(self, meant: str) -> None:
-        """Another incarnation has the address of the one that beat: the next beat tells which.
+    def _other_target_found(self, addressed: str) -> None:
+        """Record that another incarnation replies at the address; the next heartbeat identifies it.
 
-        A heartbeat that was held up for long can pass for the first one after a restart of
-        this daemon; without this the living target's own would be taken for the late one.
+        After a restart of this daemon, a long delayed heartbeat may be accepted as the first
+        one; without this record the running target's own would then be rejected as late.
         """
-        if meant == self._keeper.target and self._beats.doubt():
-            self._log.decided("other_target_there", failure=True, target=meant)
+        if addressed == self._grant_manager.target and self._incarnations.doubt():
+            self._log.decided("other_target_there", failure=True, target=addressed)
 
-    def _map_wanted(self) -> None:
+    def _map_outdated(self) -> None:
         if self._listener is not None:
             self._listener.map_wanted()
 
     def take_report(self) -> KeyReport:
-        """Return what the planner of this service's keys is to know since the last report."""
+        """Return the report for the key planner, with the key counts since the last report."""
         info = self._info
         return KeyReport(
             service=self._settings.service,
@@ -385,24 +393,24 @@
             capacity=self._slots.capacity(),
             draining=info is None or info.state is TargetState.DRAINING,
             ended=tuple(self._reported_ended[-16:]),
-            confirmed=tuple(self._keeper.confirmed()),
+            confirmed=tuple(self._grant_manager.confirmed()),
             counts=self._counter.take(),
         )
 
     def former_known(self, targets: list[str]) -> None:
-        """Take the incarnations that earlier lives of this daemon served, the newest last."""
-        self._beats.former_known(targets)
+        """Set the incarnations that earlier runs of this daemon served, the newest last."""
+        self._incarnations.former_known(targets)
 
     def note_ended(self, target: str) -> None:
-        """An incarnation that an earlier life of this daemon served is known to be gone."""
-        self._keeper.note_ended(target)
-        if self._keeper.has_ended(target) and target not in self._reported_ended:
+        """Record that an incarnation served by an earlier run of this daemon has terminated."""
+        self._grant_manager.note_ended(target)
+        if self._grant_manager.has_ended(target) and target not in self._reported_ended:
             self._reported_ended.append(target)
 
     # -- requests ------------------------------------------------------------------------
 
     def take(self, head: RequestHead, ended: bool, body: bytes, reply: ReplySink) -> TargetRequest:
-        """Take a request; begin() starts it."""
+        """Create a request for the target; its begin() starts it."""
         request = TargetRequest(self, head, ended, body, reply)
         self._open.add(request)
         if self._keyed and head.key:
@@ -410,7 +418,7 @@
         return request
 
     def barred(self, head: RequestHead) -> Reason | None:
-        """Return why the target may not run a request now, or None where it may."""
+        """Return the reason to reject a request now, or None if the target may run it."""
         info = self._info
         if info is None or (head.target and head.target != info.target):
             return Reason.MOVED
@@ -420,22 +428,23 @@
         if self._is_drained_for(head, now):
             return Reason.MOVED
         leaving = self._leaving_since
-        if leaving is not None and now > leaving + self._settings.drain_s * DRAIN_SHARE:
+        if leaving is not None and now > leaving + self._settings.drain_s * DRAIN_FRACTION:
             return Reason.DRAINING
         if not self._keyed or not head.key:
             return None
-        if self._keeper.serves(head.position, now):
+        if self._grant_manager.serves(head.position, now):
             return None
-        key_map = self._keeper.key_map
+        key_map = self._grant_manager.key_map
         owned = key_map.range_of(head.position) if key_map is not None else None
         if owned is not None and owned.owner == info.target:
             return Reason.NOT_READY
         return Reason.MOVED
 
     def _is_drained_for(self, head: RequestHead, now: float) -> bool:
-        """Return whether the drain of the failure domain keeps a request from the target.
+        """Return whether a request is rejected because the failure domain is drained.
 
-        Keys are served until they have been handed over, in the time that operators allow.
+        Keyed requests are served until their keys are handed over, at most for the
+        configured drain time.
         """
         since = self._drained_since
         if since is None:
@@ -445,23 +454,23 @@
         return now > since + self._settings.keyed_drain_s
 
     def park(self, request: TargetRequest, deadline_left_s: float) -> float:
-        """Let a request wait for its key; return for how many seconds, 0 where it may not."""
+        """Park a request until its key is granted; return the maximum wait in s, 0 if refused."""
         return self._parked.park(
             request, deadline_left_s, self._slots.load().service_s, boot_time()
         )
 
     def unpark(self, request: TargetRequest) -> None:
-        """A request no longer waits for its key."""
+        """Remove a request from those that wait for their key."""
         self._parked.unpark(request)
 
     def back_after_s(self, reason: Reason) -> float:
-        """Return the seconds after which a request that is refused here may come back."""
+        """Return the seconds after which the caller of a refused request should retry."""
         if reason is Reason.NOT_READY:
             return self._parked.gap.left_s(boot_time())
-        return BACK_S if self._refusing else MOVED_RETRY_S
+        return RESTART_S if self._refusing else MOVED_RETRY_S
 
-    def barred_by_crashes(self, request: TargetRequest) -> Barred | None:
-        """Return why the target may not run a request, as crashes are held against it."""
+    def quarantine_rejection(self, request: TargetRequest) -> QuarantineRejection | None:
+        """Return why quarantine rejects a request, or None if the target may run it."""
         return self._guard.barred(request, self._slots.load().service_s, boot_time())
 
     def headers(self, head: RequestHead, left_ms: int) -> bytes:
@@ -470,18 +479,18 @@
         return self._dialect.target_headers(head.headers, target, head.caller_service, left_ms)
 
     def named(self, headers: bytes) -> bytes:
-        """Return what a request's header lines add to its path, to say what it asks for."""
+        """Return the header lines that, with the path, identify the content of a request."""
         return self._dialect.named(headers)
 
     def facts(self, headers: bytes) -> AnswerFacts:
-        """Read the headers of a target's answer."""
+        """Parse the headers of a response of the target."""
         facts = self._dialect.answer_facts(headers)
         if facts.load is not None and facts.load.slowness is not None:
             self._slowness = facts.load.slowness
         return facts
 
     def sent(self, head: RequestHead, left_ms: int) -> None:
-        """A request goes to the target."""
+        """Record that a request is sent to the target."""
         self._slots.cold.sent(boot_time())
         self._log.decided(
             "sent_to_target", id=_text(head.request_id), target=head.target, left_ms=left_ms,
@@ -496,7 +505,7 @@
         detail: str,
         took_s: float,
     ) -> None:
-        """A request was answered or given up."""
+        """Record the end of a request, whether answered or abandoned."""
         self._open.discard(request)
         head = request.head
         content = self._guard.ended(request, _text(head.request_id), outcome, reason, boot_time())
@@ -513,37 +522,37 @@
     # -- the target's end ----------------------------------------------------------
 
     def unreachable(self, error: ServerUnreachable) -> None:
-        """No connection to the target could be made."""
-        if error.refused and self._end.refused():
-            # What listens there next has just started.
+        """Record a failed connection attempt to the target."""
+        if error.refused and self._termination.refused():
+            # The process that listens on this port next will have just started.
             self._slots.cold.doubt(boot_time())
 
     def _watch_target(self) -> None:
-        """Look whether a target has ended that leaves, refused a connection or broke one."""
+        """Check for silence, and probe a target that drains or had a connection fail."""
         self._reactor.callLater(END_CHECK_S, self._watch_target)
         now = boot_time()
-        self._reported_ended.extend(self._keeper.ended_by(now))
+        self._reported_ended.extend(self._grant_manager.ended_by(now))
         info = self._info
         if info is None:
             return
-        if not self._silent and now - self._beats.last > LATE_S:
+        if not self._silent and now - self._incarnations.last > HEARTBEAT_TIMEOUT_S:
             self._log.decided(
-                "target_silent", target=info.target, heard_s=round(now - self._beats.last, 3)
+                "target_silent", target=info.target, heard_s=round(now - self._incarnations.last, 3)
             )
             self._silent = True
             self._publish_state()
         leaving = self._leaving_since
         overdue = leaving is not None and now > leaving + self._settings.drain_s
-        self._end.look(doubted=overdue or self._guard.doubts_target)
+        self._termination.check(suspected=overdue or self._guard.doubts_target)
 
-    def _target_listens(self) -> None:
-        """Something listens at the target's port: a target that broke exchanges off lives on."""
-        self._guard.target_listens(boot_time())
+    def _target_listening(self) -> None:
+        """Record that the target's port accepts connections: the target is running."""
+        self._guard.target_listening(boot_time())
 
-    def _note_end(self, target: str, shown_by: str) -> None:
-        """Tell a crash from an end that the target had told of.
+    def _record_end(self, target: str, shown_by: str) -> None:
+        """Record the end of an incarnation as a crash or as an announced termination.
 
-        Who leaves serves until its drain time is over: it has crashed if it ends before.
+        A draining target serves until its drain time has expired; ending sooner is a crash.
         """
         now = boot_time()
         leaving = self._leaving_since
@@ -555,20 +564,20 @@
     def _target_ended(self) -> None:
         if self._info is None:
             return
-        target = self._keeper.target
-        self._note_end(target, "its port refuses")
+        target = self._grant_manager.target
+        self._record_end(target, "its port refuses")
         self._log.decided("target_ended", target=target, shown_by="its port refuses")
         self._leaving_since = None
-        self._keeper.target_ended()
+        self._grant_manager.target_ended()
         self._reported_ended.append(target)
         self._publish(None)
         if self._listener is not None:
             self._listener.keys_changed()
 
 
-def _settled_estimate(before: float, now: float) -> float:
-    """Return the Unix time in s to tell: clocks and rounding must not look like a change."""
-    return before if abs(now - before) < COLD_ESTIMATE_S else now
+def _stable_estimate(before: float, now: float) -> float:
+    """Return the Unix time in s to publish; clock drift and rounding do not change it."""
+    return before if abs(now - before) < COLD_ESTIMATE_TOLERANCE_S else now
 
 
 def _text(request_id: bytes) -> str:
