--- a/features/steps/attached_steps.py
+++ b/features/steps/attached_steps.py
@@ -9,7 +9,7 @@
 from twisted.internet.tcp import Connection
 from twisted.internet.testing import MemoryReactorClock
 
-from pearward_coordination.grant_calls import CALL_SENT_S
+from pearward_coordination.grant_calls import CALL_SEND_TIMEOUT_S
 from pearward_coordination.grants import GrantedRow
 from pearward_daemon.mesh.dialect import GrantVerdict
 from pearward_platform import grants
@@ -111,7 +111,7 @@
 
 
 def _grant(context: Any) -> Any:
-    return context.grants.grant(TARGET, ROW, HOLD_S, boot_time() + CALL_SENT_S)
+    return context.grants.grant(TARGET, ROW, HOLD_S, boot_time() + CALL_SEND_TIMEOUT_S)
 
 
 def _sent(context: Any) -> Any:
--- a/features/steps/cell_record_steps.py
+++ b/features/steps/cell_record_steps.py
@@ -83,7 +83,7 @@
 
 @when("a greeting shows that the first has been replaced, and {seconds:g} s later {who} reported")
 def first_replaced(context: Any, seconds: float, who: str) -> None:
-    context.coordinator.has_ended({context.names[0]})
+    context.coordinator.note_ended({context.names[0]})
     _plan(context, 0.1)
     context.record = context.planned
     if who == "the successor has":
--- a/features/steps/cold_steps.py
+++ b/features/steps/cold_steps.py
@@ -30,12 +30,15 @@
 
 def _play(context: Any, arrivals: list[float]) -> None:
     limit = context.limit
-    limit.told(COLD_S, START)
+    limit.set_cold_time(COLD_S, START)
     for now in arrivals:
-        room_in_s = limit.room_in_s(now)
-        if room_in_s > 0.0:
-            if now + room_in_s < START + COLD_S and limit.room_in_s(now + room_in_s) > 1e-9:
-                context.too_early.append((now, room_in_s))
+        capacity_in_s = limit.capacity_in_s(now)
+        if capacity_in_s > 0.0:
+            if (
+                now + capacity_in_s < START + COLD_S
+                and limit.capacity_in_s(now + capacity_in_s) > 1e-9
+            ):
+                context.too_early.append((now, capacity_in_s))
             continue
         limit.sent(now)
         context.sent.append(now)
@@ -72,22 +75,22 @@
 def turned_cold(context: Any, count: int) -> None:
     for number in range(count):
         context.limit.sent(START - 1.0 + number / count)
-    context.limit.told(COLD_S, START)
+    context.limit.set_cold_time(COLD_S, START)
 
 
 @then("it gets no request for {seconds:g} s")
 def nothing_for(context: Any, seconds: float) -> None:
-    assert context.limit.room_in_s(START + seconds) > 0.0
+    assert context.limit.capacity_in_s(START + seconds) > 0.0
 
 
 @when("there is doubt whether it is cold")
 def doubt(context: Any) -> None:
-    context.limit.doubt(START)
+    context.limit.suspect_cold(START)
 
 
 @when("it says {seconds:g} s later that it is not cold")
 def says_warm(context: Any, seconds: float) -> None:
-    context.limit.told(0.0, START + seconds)
+    context.limit.set_cold_time(0.0, START + seconds)
 
 
 @then("it counts as {what}")
@@ -104,7 +107,7 @@
 
 @when("it says that it is cold for 3 s")
 def says_cold(context: Any) -> None:
-    context.slots.cold.told(COLD_S, START)
+    context.slots.cold.set_cold_time(COLD_S, START)
 
 
 @then("it tells {slots:d} slots and a capacity of {capacity:g} requests a second")
--- a/features/steps/contact_steps.py
+++ b/features/steps/contact_steps.py
@@ -30,7 +30,7 @@
 
 @when("{who} is heard every {pause:g} s for {seconds:g} s")
 @when("{who} is heard every {pause:g} s for {seconds:g} s, and {answers}")
-def heard(context: Any, who: str, pause: float, seconds: float, answers: str = "") -> None:
+def note_received(context: Any, who: str, pause: float, seconds: float, answers: str = "") -> None:
     members = context.record.members
     given_up = members[min(1, len(members) - 1)]
     peers = {
@@ -46,17 +46,17 @@
         context.now = step * STEP_S
         if who in peers and context.now >= next_word:
             next_word += pause
-            context.contact.heard(peers[who], context.now)
+            context.contact.note_received(peers[who], context.now)
             if answers == "answers it":
-                context.contact.answered(peers[who], context.now)
-        if context.contact.is_alone(context.now):
+                context.contact.note_reply(peers[who], context.now)
+        if context.contact.is_isolated(context.now):
             context.alone_at.append(context.now)
 
 
 @then("it is {alone}, and holds back {seconds:g} s before it looks for the coordinator's role")
-def is_alone(context: Any, alone: str, seconds: float) -> None:
-    assert context.contact.is_alone(context.now) == (alone == "alone")
-    assert context.contact.handicap_s(context.now, lease_held=False) == seconds
+def is_isolated(context: Any, alone: str, seconds: float) -> None:
+    assert context.contact.is_isolated(context.now) == (alone == "alone")
+    assert context.contact.election_delay_s(context.now, lease_held=False) == seconds
 
 
 @given("the record {counts} on this daemon")
--- a/features/steps/drain_steps.py
+++ b/features/steps/drain_steps.py
@@ -51,7 +51,7 @@
 @when("the planner's failure domain is drained")
 def planners_domain(context: Any) -> None:
     world = context.world
-    planner = next(node for node in world.nodes if node.daemon.core.planner.on_duty)
+    planner = next(node for node in world.nodes if node.daemon.core.planner.is_active_planner)
     context.domain = world.domain_of(planner)
     world.drain(context.domain)
 
@@ -118,7 +118,10 @@
         held = [key for key in KEYS if node.target.holds(key)]
         assert not held, (node.number, held)
         for key in (b"", *(b"%d" % key for key in KEYS)):
-            assert node.daemon.core.side.barred(_head(node, key)) is not None, (node.number, key)
+            assert node.daemon.core.local_target.rejection(_head(node, key)) is not None, (
+                node.number,
+                key,
+            )
 
 
 @then('no target in "{domain}" holds a key or gets a request after {seconds:g} s')
@@ -149,7 +152,10 @@
     context.world.run(seconds)
     for node in context.world.nodes:
         for key in (b"", *(b"%d" % key for key in KEYS)):
-            assert node.daemon.core.side.barred(_head(node, key)) is not None, (node.number, key)
+            assert node.daemon.core.local_target.rejection(_head(node, key)) is not None, (
+                node.number,
+                key,
+            )
 
 
 @then("every key is served after {seconds:g} s more")
@@ -210,7 +216,7 @@
 
 @when("it is told of revision {revision:d} that nothing is drained")
 def view_told(context: Any, revision: int) -> None:
-    context.view.told(DomainDrains(revision), 30.0)
+    context.view.merge(DomainDrains(revision), 30.0)
 
 
 @when('it hears at revision {revision:d} and {now:g} s that "{domain}" is drained')
--- a/features/steps/foreign_steps.py
+++ b/features/steps/foreign_steps.py
@@ -13,7 +13,7 @@
 sys.path.insert(0, str(Path(__file__).parents[2]))
 
 from pearward_coordination.messages import Renew
-from pearward_daemon.mesh.dialect import TargetBeat
+from pearward_daemon.mesh.dialect import TargetHeartbeat
 from pearward_platform.beats import read_beat
 from pearward_platform.document import check_drain, read_document
 from pearward_platform.headers import PlatformDialect
@@ -47,7 +47,7 @@
 )
 from pearward_state.crashes import CrashRecord
 from pearward_state.errors import InvalidRecord
-from pearward_state.keymap import KeyMap, KeyRange, Predecessor, TargetWitnesses, changed_by
+from pearward_state.keymap import KeyMap, KeyRange, Predecessor, TargetWitnesses, diff_key_maps
 from pearward_state.members import Holder, Member, TargetState
 from pearward_state.outcome import Outcome, RequestClass
 from pearward_transport.store import Put
@@ -94,7 +94,7 @@
 
 
 def _answer_load(data: bytes) -> object:
-    return PlatformDialect().answer_facts(b"Server-Load: " + data).load
+    return PlatformDialect().response_facts(b"Server-Load: " + data).load
 
 
 def _read_control(data: bytes) -> object:
@@ -107,7 +107,7 @@
     "holder": (encode_holder(Holder("i-1", "one")), decode_holder, InvalidRecord),
     "key map": (encode_key_map(SECOND), decode_key_map, InvalidRecord),
     "key map change": (
-        encode_key_map_change(changed_by(FIRST, SECOND)), decode_key_map_change, InvalidRecord,
+        encode_key_map_change(diff_key_maps(FIRST, SECOND)), decode_key_map_change, InvalidRecord,
     ),
     "configuration": (orjson.dumps(DOCUMENT), read_document, InvalidRecord),
     "drain": (b"{}", check_drain, InvalidRecord),
@@ -124,7 +124,7 @@
     ),
 }  # fmt: skip
 VALID = {
-    "heartbeat": lambda v: isinstance(v, TargetBeat) and type(v.slots) is int and v.slots > 0,
+    "heartbeat": lambda v: isinstance(v, TargetHeartbeat) and type(v.slots) is int and v.slots > 0,
     "member": lambda v: isinstance(v, Member) and type(v.slots) is int and bool(v.instance),
     "key map": lambda v: v.ranges[0].first == 0 and v.ranges[-1].last == 65_535,
 }
@@ -191,24 +191,24 @@
 
 @when("a heartbeat is read with {fault}")
 def bad_beat(context: Any, fault: str) -> None:
-    beat: dict[str, Any] = orjson.loads(orjson.dumps(BEAT))
+    target_heartbeat: dict[str, Any] = orjson.loads(orjson.dumps(BEAT))
     name = "i-1"
     changes: dict[str, Callable[[], object]] = {
-        "a state that is not named": lambda: beat["status"].update(state="dozing"),
-        "no state": lambda: beat["status"].pop("state"),
-        "slots as a text": lambda: beat["information"].update(capacitySlots="12"),
-        "a truth value as sequence": lambda: beat["status"].update(sequence=True),
-        "a negative cold time": lambda: beat["status"].update(coldRemainingMs=-1),
-        "a birth that is no number": lambda: beat.update(born="yesterday"),
-        "keys that lie outside": lambda: beat.update(holds=[[0, 70_000, 1]]),
-        "no address": lambda: beat.pop("address"),
+        "a state that is not named": lambda: target_heartbeat["status"].update(state="dozing"),
+        "no state": lambda: target_heartbeat["status"].pop("state"),
+        "slots as a text": lambda: target_heartbeat["information"].update(capacitySlots="12"),
+        "a truth value as sequence": lambda: target_heartbeat["status"].update(sequence=True),
+        "a negative cold time": lambda: target_heartbeat["status"].update(coldRemainingMs=-1),
+        "a birth that is no number": lambda: target_heartbeat.update(born="yesterday"),
+        "keys that lie outside": lambda: target_heartbeat.update(holds=[[0, 70_000, 1]]),
+        "no address": lambda: target_heartbeat.pop("address"),
         "a mark of a life in its id": lambda: None,
     }
     if fault == "a mark of a life in its id":
         name = "i-1~5"
     changes[fault]()
     try:
-        read_beat(name, orjson.dumps(beat))
+        read_beat(name, orjson.dumps(target_heartbeat))
         context.error = ""
     except InvalidRecord as error:
         context.error = str(error)
@@ -230,17 +230,17 @@
 @when('{count:d} heartbeats of a target of "{service}" come')
 def foreign_beats(context: Any, count: int, service: str) -> None:
     for sequence in range(1, count + 1):
-        beat = TargetBeat(
+        target_heartbeat = TargetHeartbeat(
             target="i-foreign", service=service, address="10.0.0.9:1", failure_domain="a",
             slots=4, state=TargetState.READY, cold_s=0.0, sequence=sequence, held=(), released=(),
         )  # fmt: skip
-        context.node.daemon.core.side.beat(beat)
+        context.node.daemon.core.local_target.target_heartbeat(target_heartbeat)
         context.world.run(0.9)
 
 
 @then("the daemon still serves its target")
 def still_its_target(context: Any) -> None:
-    assert context.node.daemon.core.side.keeper.target == context.node.target.id
+    assert context.node.daemon.core.local_target.grant_manager.target == context.node.target.id
     assert any(context.node.target.holds(key) for key in KEYS)
 
 
@@ -251,7 +251,7 @@
 
 @when('an answer says that its load is "{header}"')
 def load_header(context: Any, header: str) -> None:
-    context.facts = PlatformDialect().answer_facts(b"Server-Load: " + header.encode())
+    context.facts = PlatformDialect().response_facts(b"Server-Load: " + header.encode())
 
 
 # -- entries ------------------------------------------------------------------------------------
@@ -292,7 +292,7 @@
     world = context.world
     world.store.revision += 1
     world.store.put(Put(key_map_key(SERVICE), b'{"service": 7}'))
-    planner = next(node for node in world.nodes if node.daemon.core.planner.on_duty)
+    planner = next(node for node in world.nodes if node.daemon.core.planner.is_active_planner)
     if then_what == "a target is lost":
         lost = next(node for node in world.nodes if node is not planner)
         world.end_target(lost)
--- a/features/steps/key_gap_steps.py
+++ b/features/steps/key_gap_steps.py
@@ -4,19 +4,19 @@
 
 from behave import given, then, when
 
-from pearward_coordination.overload.key_gap import KeyGap
+from pearward_coordination.overload.handover_wait import HandoverWait
 
 START = 100.0
 
 
-def _hand_over(gap: KeyGap, now: float, seconds: float) -> None:
-    gap.begun(now)
-    gap.ended(now + seconds)
+def _hand_over(gap: HandoverWait, now: float, seconds: float) -> None:
+    gap.start(now)
+    gap.finish(now + seconds)
 
 
 @given("a target whose last ten hand-overs took {seconds:g} s")
 def took(context: Any, seconds: float) -> None:
-    context.gap = KeyGap()
+    context.gap = HandoverWait()
     for number in range(10):
         # The first guess weighs 0.1 after ten; thirty more make it vanish.
         for again in range(4):
@@ -33,19 +33,19 @@
     "its keys rest and a request comes {at:g} s later with {left:g} s left, which runs {runs:g} s"
 )
 def comes(context: Any, at: float, left: float, runs: float) -> None:
-    context.gap.begun(START)
-    context.patience_s = context.gap.patience_s(left, runs, START + at)
+    context.gap.start(START)
+    context.max_wait_s = context.gap.max_wait_s(left, runs, START + at)
     context.back_s = context.gap.left_s(START + at)
 
 
 @then("it waits for at most {seconds:g} s")
 def waits(context: Any, seconds: float) -> None:
-    assert abs(context.patience_s - seconds) < 0.01, context.patience_s
+    assert abs(context.max_wait_s - seconds) < 0.01, context.max_wait_s
 
 
 @then("it is refused, to come back in {seconds:g} s")
 def refused(context: Any, seconds: float) -> None:
-    assert context.patience_s == 0.0, context.patience_s
+    assert context.max_wait_s == 0.0, context.max_wait_s
     assert abs(context.back_s - seconds) < 0.01, context.back_s
 
 
@@ -57,14 +57,14 @@
 @when("its keys rest for {rest:g} s and requests with {left:g} s left come every {every:g} s, "
       "which run {runs:g} s")  # fmt: skip
 def all_come(context: Any, rest: float, left: float, every: float, runs: float) -> None:
-    context.gap.begun(START)
+    context.gap.start(START)
     context.refused, context.served, context.held = 0, 0, 0
     for number in range(round(rest / every)):
         came = number * every
-        patience_s = context.gap.patience_s(left, runs, START + came)
-        if patience_s <= 0.0:
+        max_wait_s = context.gap.max_wait_s(left, runs, START + came)
+        if max_wait_s <= 0.0:
             context.refused += 1
-        elif came + patience_s >= rest:
+        elif came + max_wait_s >= rest:
             context.served += 1
         else:
             context.held += 1
--- a/features/steps/key_map_change_steps.py
+++ b/features/steps/key_map_change_steps.py
@@ -13,9 +13,9 @@
 from pearward_protocol.control import decode_control, encode_control
 from pearward_protocol.entries import (
     decode_key_map_change,
+    deflate,
     encode_key_map_change,
-    packed,
-    unpacked,
+    inflate,
 )
 from pearward_state.keymap import (
     KEY_SPACE,
@@ -23,7 +23,7 @@
     KeyRange,
     Predecessor,
     TargetWitnesses,
-    changed_by,
+    diff_key_maps,
 )
 
 
@@ -82,7 +82,7 @@
 
 @when("the one who wrote it tells a daemon that holds the former one")
 def tells(context: Any) -> None:
-    context.whole_wanted = context.reader.take_change(context.message, "n1:1")
+    context.whole_wanted = context.reader.apply_change(context.message, "n1:1")
 
 
 @when("the one who wrote it tells a daemon that holds the former one, but {fault}")
@@ -97,14 +97,14 @@
     elif fault == "the message is cut short":
         message = replace(message, value=message.value[:-9])
     else:
-        change = decode_key_map_change(unpacked(message.value))
+        change = decode_key_map_change(inflate(message.value))
         if fault == "a range of the change is missing":
             ranges = change.ranges[1:]
         else:
             ranges = (replace(change.ranges[0], owner="i-other"), *change.ranges[1:])
-        value = packed(encode_key_map_change(replace(change, ranges=ranges)))
+        value = deflate(encode_key_map_change(replace(change, ranges=ranges)))
         message = replace(message, value=value)
-    context.whole_wanted = context.reader.take_change(message, "n1:1")
+    context.whole_wanted = context.reader.apply_change(message, "n1:1")
 
 
 @then("that daemon has the next one, and got less than a tenth of the whole map's bytes")
@@ -120,7 +120,7 @@
 def keeps(context: Any) -> None:
     assert context.whole_wanted
     assert context.reader.of("roster") == context.held
-    (call,) = context.log.decided.call_args_list
+    (call,) = context.log.emit.call_args_list
     assert call.args == ("key_map_change_refused",)
     told = call.kwargs
     assert (told["base"], told["version"], told["sender"]) == (21, 22, "n1:1")
@@ -141,7 +141,7 @@
     for _ in range(count):
         before = _random_map(rng, rng.randrange(1, 30), rng.randrange(1, 60), 5)
         after = _successor(rng, before, rng.randrange(0, 20))
-        change = decode_key_map_change(encode_key_map_change(changed_by(before, after)))
-        assert before.after(change) == after
+        change = decode_key_map_change(encode_key_map_change(diff_key_maps(before, after)))
+        assert before.apply(change) == after
         back = replace(before, version=7)
-        assert after.after(changed_by(after, back)) == back
+        assert after.apply(diff_key_maps(after, back)) == back
--- a/features/steps/key_shedding_steps.py
+++ b/features/steps/key_shedding_steps.py
@@ -6,7 +6,7 @@
 
 from behave import given, then, when
 
-from pearward_coordination.overload.key_shedding import KEPT, KeyShedding
+from pearward_coordination.overload.key_shedding import MAX_KEYS, KeyShedding
 
 SERVICE, KEY = "sheets", 14_139
 
@@ -169,4 +169,4 @@
 
 @then("it knows at most {most:d} of them")
 def few_known(context: Any, most: int) -> None:
-    assert len(context.shedding._seen) <= most == KEPT, len(context.shedding._seen)
+    assert len(context.shedding._seen) <= most == MAX_KEYS, len(context.shedding._seen)
--- a/features/steps/keys_come_steps.py
+++ b/features/steps/keys_come_steps.py
@@ -11,7 +11,7 @@
 from behave import given, then, when
 
 from pearward_coordination.grants import GrantTiming
-from pearward_daemon.mesh.settings import GrantWay
+from pearward_daemon.mesh.settings import GrantMode
 from pearward_daemon.mesh.target_request import TargetRequest
 from pearward_protocol.heads import RequestClass, RequestHead
 from pearward_state.keymap import KEY_SPACE, KeyMap, KeyRange
@@ -54,15 +54,17 @@
 def waiting(context: Any, ranges: int, count: int) -> None:
     stack = ExitStack()
     context.add_cleanup(stack.close)
-    world = context.world = begin_world(stack, 1, GrantTiming(), way=GrantWay.CALL)
+    world = context.world = begin_world(stack, 1, GrantTiming(), way=GrantMode.CALL)
     world.run(8.0)
     node = world.nodes[0]
-    side, former = node.daemon.core.side, node.target.id
+    local_target, former = node.daemon.core.local_target, node.target.id
     world.end_target(node)
     world.start_target(node)
-    while side.keeper.target == former:
+    while local_target.grant_manager.target == former:
         world.step()
-    side.adopt(_in_ranges(side.keeper.key_map, side.keeper.target, ranges))
+    local_target.adopt(
+        _in_ranges(local_target.grant_manager.key_map, local_target.grant_manager.target, ranges)
+    )
     context.looks = Counter()
     admit = TargetRequest.admit
 
@@ -71,7 +73,7 @@
         admit(request)
 
     context.requests = [
-        side.take(_head(number, number * KEY_SPACE // count), True, b"", mock.Mock())
+        local_target.take(_head(number, number * KEY_SPACE // count), True, b"", mock.Mock())
         for number in range(count)
     ]
     for request in context.requests:
--- a/features/steps/mesh_key_map_steps.py
+++ b/features/steps/mesh_key_map_steps.py
@@ -8,7 +8,7 @@
 import orjson
 from behave import given, then, when
 
-from pearward_coordination.grants import GrantKeeper, GrantTiming, ReleasedRow
+from pearward_coordination.grants import GrantManager, GrantTiming, ReleasedRow
 from pearward_coordination.key_load import (
     RECENT_S,
     KeyCount,
@@ -16,7 +16,7 @@
     KeyLoadTable,
     KeyRate,
 )
-from pearward_coordination.key_pieces import KeyOwner, rates_by_owner
+from pearward_coordination.key_segments import KeyOwner, rates_by_owner
 from pearward_coordination.keyplan import (
     PlanLimits,
     PlannedLoad,
@@ -28,7 +28,7 @@
 from pearward_coordination.witness_sets import WitnessCandidate, with_witnesses
 from pearward_daemon.mesh.key_maps import KeyMaps
 from pearward_daemon.mesh.log import DecisionLog
-from pearward_protocol.entries import decode_key_map, encode_key_map, key_map_key, packed
+from pearward_protocol.entries import decode_key_map, deflate, encode_key_map, key_map_key
 from pearward_state.errors import InvalidRecord
 from pearward_state.keymap import KEY_SPACE, KeyMap, KeyRange, Predecessor, TargetWitnesses
 
@@ -263,10 +263,10 @@
 def garbage_refused(context: Any) -> None:
     log = mock.create_autospec(DecisionLog, instance=True)
     receiver = KeyMaps(log)
-    for data in (context.sent[:-20], b"", b"no zlib", packed(b"no JSON"), packed(b"{}")):
+    for data in (context.sent[:-20], b"", b"no zlib", deflate(b"no JSON"), deflate(b"{}")):
         receiver.take(Push(key_map_key("roster"), 21, data))
     assert receiver.of("roster") is None
-    assert [call.args[0] for call in log.decided.call_args_list] == ["key_map_unreadable"] * 5
+    assert [call.args[0] for call in log.emit.call_args_list] == ["key_map_unreadable"] * 5
 
 
 def _silent_log() -> DecisionLog:
@@ -296,12 +296,12 @@
         for table in (context.usual, context.recent):
             table.add(counts, context.now)
     usual, recent = (
-        PlannedLoad(table.rates(context.now), table.seen_s(context.now))
+        PlannedLoad(table.rates(context.now), table.observed_s(context.now))
         for table in (context.usual, context.recent)
     )
     if has_surged(context.map, recent, usual, PlanLimits()):
         context.surges += 1
-        context.usual.begin_anew(context.recent, context.now)
+        context.usual.reset_from(context.recent, context.now)
 
 
 @given("owners of 4 equal parts that were asked for 10 requests a second each for {seconds:g} s")
@@ -364,13 +364,13 @@
 
 @given("the second one is to take the first one's keys, which it does not hold yet")
 def second_is_to_take(context: Any) -> None:
-    keeper = context.keeper = GrantKeeper("service", 0.0, GrantTiming())
-    keeper.target_changed("t1")
-    keeper.lease_until(NOW + 60.0)
+    grant_manager = context.grant_manager = GrantManager("service", 0.0, GrantTiming())
+    grant_manager.target_changed("t1")
+    grant_manager.set_lease_end(NOW + 60.0)
     context.map = _given_to(context.map, "t1", [Predecessor("t0", 1)])
-    keeper.adopt(context.map, NOW)
-    keeper.heartbeat(NOW, (), ())
-    rows, _ = keeper.grant(NOW, NOW)
+    grant_manager.adopt(context.map, NOW)
+    grant_manager.heartbeat(NOW, (), ())
+    rows, _ = grant_manager.grant(NOW, NOW)
     assert all(row.first > context.map.ranges[0].last for row in rows), rows
 
 
@@ -385,25 +385,27 @@
     moved = context.next.ranges[0]
 
     def answer() -> list[ReleasedRow] | None:
-        return context.keeper.release_of(
+        return context.grant_manager.released_rows(
             "t1", moved.first, moved.last, context.map.fence, context.next.version, NOW
         )
 
     assert answer() is None
-    context.keeper.adopt(context.next, NOW)
+    context.grant_manager.adopt(context.next, NOW)
     assert answer() is not None
 
 
 @when("the daemon of the first one hears 1000 times that a predecessor let its keys go")
 def told_often(context: Any) -> None:
-    context.keeper = GrantKeeper("service", NOW, GrantTiming())
+    context.grant_manager = GrantManager("service", NOW, GrantTiming())
     for _ in range(1000):
-        context.keeper.released(Predecessor("gone", 1), ReleasedRow(0, 99, ""))
+        context.grant_manager.note_predecessor_released(
+            Predecessor("gone", 1), ReleasedRow(0, 99, "")
+        )
 
 
 @then("it remembers one row")
 def remembers_one(context: Any) -> None:
-    (rows,) = context.keeper._released_by.values()
+    (rows,) = context.grant_manager._released_by.values()
     assert rows == [ReleasedRow(0, 99, "")]
 
 
--- a/features/steps/mesh_link_steps.py
+++ b/features/steps/mesh_link_steps.py
@@ -57,8 +57,8 @@
     size = min(context.link.chunk, ticket.unsent)
     ticket.unsent -= size
     ticket.remaining -= size
-    ticket.begun = True
-    context.link.handed_over(size, context.now)
+    ticket.started = True
+    context.link.note_sent(size, context.now)
     context.handed.append((context.now, size))
     if not ticket.unsent:
         context.link.leave(ticket)
@@ -110,7 +110,7 @@
 
 @then("the last of them has not begun yet")
 def last_waits(context: Any) -> None:
-    assert not context.late[-1].begun, context.late[-1]
+    assert not context.late[-1].started, context.late[-1]
 
 
 @then("at least {share:g} of what was handed over was not of late answers")
@@ -190,12 +190,12 @@
       "{left:g} s left, comes to the {which} target")  # fmt: skip
 def long_request(context: Any, runs: float, objective: float, left: float, which: str) -> None:
     asked = LongRequest(runs, objective, left, which == "last")
-    context.too_late_s = context.link.too_late_s(asked, context.under_way, context.now)
+    context.lateness_s = context.link.lateness_s(asked, context.under_way, context.now)
 
 
 @then("the long request is {outcome}")
 def begun_or_refused(context: Any, outcome: str) -> None:
-    assert (context.too_late_s > 0.0) == (outcome == "refused"), context.too_late_s
+    assert (context.lateness_s > 0.0) == (outcome == "refused"), context.lateness_s
 
 
 # -- streams --------------------------------------------------------------------------------------
@@ -211,11 +211,11 @@
 
     def respond(self, stream: int, head: ResponseHead, *, ended: bool, body: bytes = b"") -> None:
         self.sent.append(("whole" if ended else "head", len(body)))
-        self._link.handed_over(len(body), self._clock.seconds())
+        self._link.note_sent(len(body), self._clock.seconds())
 
     def send_data(self, stream: int, data: bytes, *, ended: bool = False) -> bool:
         self.sent.append(("end" if ended else "data", len(data)))
-        self._link.handed_over(len(data), self._clock.seconds())
+        self._link.note_sent(len(data), self._clock.seconds())
         return True
 
     def reset(self, stream: int, code: ResetCode) -> None:
--- a/features/steps/mesh_member_steps.py
+++ b/features/steps/mesh_member_steps.py
@@ -29,12 +29,12 @@
 
 @when('the entry of "{name}" goes')
 def entry_goes(context: Any, name: str) -> None:
-    context.directory.entry_gone(name, NOW)
+    context.directory.entry_removed(name, NOW)
 
 
 @when('"{name}" cannot be reached')
 def not_reached(context: Any, name: str) -> None:
-    context.directory.unreachable(f"t-{name}", NOW)
+    context.directory.note_unreachable(f"t-{name}", NOW)
 
 
 @given("the store does not answer")
@@ -54,7 +54,7 @@
 
 @when('{seconds:d} s pass and "{name}" reports at last')
 def reports_at_last(context: Any, seconds: int, name: str) -> None:
-    context.directory.heard(f"t-{name}", NOW + seconds)
+    context.directory.note_alive(f"t-{name}", NOW + seconds)
     context.directory.expire(NOW + seconds)
 
 
@@ -65,7 +65,7 @@
 
 @when('the daemon of "{name}" says that its target takes no new work')
 def says_draining(context: Any, name: str) -> None:
-    context.directory.refused(f"t-{name}")
+    context.directory.note_refused(f"t-{name}")
 
 
 @then("both may get requests")
--- a/features/steps/mesh_ownership_steps.py
+++ b/features/steps/mesh_ownership_steps.py
@@ -13,8 +13,8 @@
 sys.path.insert(0, str(Path(__file__).parents[2]))
 
 from pearward_coordination.grants import GrantTiming
-from pearward_daemon.mesh.dialect import TargetBeat
-from pearward_daemon.mesh.settings import GrantWay, MeshSettings
+from pearward_daemon.mesh.dialect import TargetHeartbeat
+from pearward_daemon.mesh.settings import GrantMode, MeshSettings
 from pearward_state.keymap import KEY_SPACE
 from pearward_state.members import TargetState
 from tests.fuzz import mesh_world
@@ -26,7 +26,7 @@
     """Start a fleet whose parts all read its time."""
     stack = ExitStack()
     context.add_cleanup(stack.close)
-    way = getattr(context, "way", GrantWay.HEARTBEAT)
+    way = getattr(context, "way", GrantMode.HEARTBEAT)
     born = getattr(context, "born", False)
     world = begin_world(stack, count, GrantTiming(), way=way, born=born)
     context.world = world
@@ -46,7 +46,7 @@
 
 @given("targets that take their keys by calls")
 def by_calls(context: Any) -> None:
-    context.way = GrantWay.CALL
+    context.way = GrantMode.CALL
 
 
 @given("a fleet of {count:d} targets")
@@ -84,7 +84,7 @@
 def fleet_with_fast_link(context: Any, count: int, number: int) -> None:
     usual = mesh_world._settings
 
-    def settings(instance: int, timing: GrantTiming, way: GrantWay) -> MeshSettings:
+    def settings(instance: int, timing: GrantTiming, way: GrantMode) -> MeshSettings:
         rate = 1000.0 if instance == number else 6.0
         return replace(usual(instance, timing, way), link_mbit_per_s=rate)
 
@@ -102,23 +102,25 @@
 @then("daemon {number:d} plans, and all report to it")
 def all_report_to(context: Any, number: int) -> None:
     planners = [node.daemon.core.planner for node in context.world.nodes]
-    assert [planner.on_duty for planner in planners] == [n == number for n in range(len(planners))]
-    assert {p.duty_holder().instance for p in planners} == {f"instance-{number}"}
+    assert [planner.is_active_planner for planner in planners] == [
+        n == number for n in range(len(planners))
+    ]
+    assert {p.active_planner().instance for p in planners} == {f"instance-{number}"}
 
 
 @then("daemon {number:d} plans")
 def plans(context: Any, number: int) -> None:
-    assert context.world.nodes[number].daemon.core.planner.on_duty
+    assert context.world.nodes[number].daemon.core.planner.is_active_planner
 
 
 @when("the planner is cut off from the store for {seconds:g} s and its entry is taken away at once")
 def planner_cut_off(context: Any, seconds: float) -> None:
     world = context.world
-    planner = next(node for node in world.nodes if node.daemon.core.planner.on_duty)
+    planner = next(node for node in world.nodes if node.daemon.core.planner.is_active_planner)
     planner.cut_from_store = True
     world.store.remove(f"members/instance-{planner.number}")
     _run(context, seconds)
-    assert any(n.daemon.core.planner.on_duty for n in world.nodes if n is not planner)
+    assert any(n.daemon.core.planner.is_active_planner for n in world.nodes if n is not planner)
     planner.cut_from_store = False
 
 
@@ -268,10 +270,10 @@
 @when("a heartbeat comes to daemon {number:d} from a target that has counted {calls:d} calls")
 def foreign_beat(context: Any, number: int, calls: int) -> None:
     context.other = f"i-other-{calls}"
-    beat = TargetBeat(
+    target_heartbeat = TargetHeartbeat(
         context.other, "roster-app", "127.0.0.1:1", "a", 12, TargetState.READY, 0.0, calls, (), ()
     )
-    context.world.nodes[number].daemon.core.side.beat(beat)
+    context.world.nodes[number].daemon.core.local_target.target_heartbeat(target_heartbeat)
 
 
 @when(
@@ -279,19 +281,21 @@
     "counted {calls:d} calls"
 )
 def foreign_beat_connected(context: Any, number: int, calls: int) -> None:
-    context.world.nodes[number].daemon.core.side.client.open_connections = 3
+    context.world.nodes[number].daemon.core.local_target.client.open_connections = 3
     foreign_beat(context, number, calls)
 
 
 @then("daemon {number:d} goes on with the target that it had")
 def same_target(context: Any, number: int) -> None:
     node = context.world.nodes[number]
-    assert node.daemon.core.side.keeper.target == node.target.id
+    assert node.daemon.core.local_target.grant_manager.target == node.target.id
 
 
 @then("daemon {number:d} goes on with the new target")
 def new_target(context: Any, number: int) -> None:
-    assert context.world.nodes[number].daemon.core.side.keeper.target == context.other
+    assert (
+        context.world.nodes[number].daemon.core.local_target.grant_manager.target == context.other
+    )
 
 
 @then("some of them are held by another target")
@@ -416,11 +420,11 @@
     world.start_target(node)
     world.run(seconds)
     world.start_daemon(node)
-    beat = TargetBeat(
+    target_heartbeat = TargetHeartbeat(
         former, "roster-app", "127.0.0.1:1", "a", 12, TargetState.READY, 0.0, 40, (), ()
     )
-    node.daemon.core.side.beat(beat)
-    assert node.daemon.core.side.keeper.target == former
+    node.daemon.core.local_target.target_heartbeat(target_heartbeat)
+    assert node.daemon.core.local_target.grant_manager.target == former
 
 
 @then("daemon {number:d} knows the living target after {seconds:g} s")
@@ -428,4 +432,4 @@
     world = context.world
     node = world.nodes[number]
     world.run(seconds)
-    assert node.daemon.core.side.keeper.target == node.target.id
+    assert node.daemon.core.local_target.grant_manager.target == node.target.id
--- a/features/steps/mesh_store_steps.py
+++ b/features/steps/mesh_store_steps.py
@@ -132,9 +132,9 @@
     def take(self, sender: PeerId, message: ControlMessage) -> None:
         """Take another daemon's message."""
         if isinstance(message, AskChanges):
-            self.feed.asked(sender, message)
+            self.feed.query_received(sender, message)
         elif isinstance(message, TellChanges):
-            self.feed.told(message)
+            self.feed.reply_received(message)
 
     def members_read(self, members: list[Member]) -> None:
         """All members were read from the store."""
--- a/features/steps/mesh_target_steps.py
+++ b/features/steps/mesh_target_steps.py
@@ -10,10 +10,10 @@
 from pearward_coordination.retry_window import RetryRule, RetryWindow
 from pearward_coordination.selection import (
     Candidate,
-    Exchange,
+    ExchangeProfile,
     LoadView,
     TargetLoad,
-    WeightedTurns,
+    WeightedRoundRobin,
     choose_target,
 )
 from pearward_coordination.slots import Refused, SlotLimits, SlotQueue, SlotTicket
@@ -179,7 +179,7 @@
 
 @then("a request of {kilobytes:d} kB goes to the {which} one")
 def long_goes_to(context: Any, kilobytes: int, which: str) -> None:
-    asked = Exchange(kilobytes, long_answer=True)
+    asked = ExchangeProfile(kilobytes, long_response=True)
     rng = Random(7)
     chosen = [choose_target(context.candidates, NOW, rng, asked) for _ in range(400)]
     share = sum(c is context.candidates[0] for c in chosen) / len(chosen)
@@ -204,7 +204,7 @@
 @given('a route that goes to "{first}" by {one:d} and to "{second}" by {other:d}')
 def weighted(context: Any, first: str, one: int, second: str, other: int) -> None:
     parts = [WeightedService(first, one), WeightedService(second, other)]
-    context.turns = WeightedTurns(parts, Random(3))
+    context.turns = WeightedRoundRobin(parts, Random(3))
 
 
 @when("{count:d} requests take it")
@@ -243,18 +243,18 @@
         size = min(link.chunk, ticket.unsent)
         ticket.unsent -= size
         ticket.remaining -= size
-        link.handed_over(size, now)
+        link.note_sent(size, now)
         if not ticket.unsent:
             link.leave(ticket)
 
 
-def _chosen_at(context: Any, now: float, *, long_answer: bool = True) -> str:
+def _chosen_at(context: Any, now: float, *, long_response: bool = True) -> str:
     candidates = []
     for number, (link, service_s) in enumerate(zip(context.links, context.service_s, strict=True)):
         view = LoadView()
-        view.reported(TargetLoad(0, 0, 12, service_s, link.long_wait_s(now)), now)
+        view.reported(TargetLoad(0, 0, 12, service_s, link.long_response_wait_s(now)), now)
         candidates.append(Candidate(f"t{number}", True, view))
-    chosen = choose_target(candidates, now, Random(1), Exchange(long_answer=long_answer))
+    chosen = choose_target(candidates, now, Random(1), ExchangeProfile(long_response=long_response))
     assert chosen is not None
     return chosen.target
 
@@ -271,7 +271,7 @@
 
 @then("a short request goes to the first")
 def short_to_first(context: Any) -> None:
-    assert _chosen_at(context, NOW, long_answer=False) == "t0"
+    assert _chosen_at(context, NOW, long_response=False) == "t0"
 
 
 @then("a long request goes to the first")
@@ -290,7 +290,7 @@
 
 @given("its body is being passed on")
 def passed_on(context: Any) -> None:
-    context.plan.sent_on = True
+    context.plan.body_consumed = True
 
 
 @when('an attempt ends as "{outcome}" because of "{reason}"')
--- a/features/steps/new_service_steps.py
+++ b/features/steps/new_service_steps.py
@@ -6,13 +6,13 @@
 from behave import given, then, when
 from twisted.internet.task import Clock
 
-from pearward_coordination.service_lookups import Found
+from pearward_coordination.service_lookups import LookupResult
 from pearward_daemon.service_finder import ServiceFinder
 from pearward_devtools.cluster import wait_until
 from pearward_devtools.memory_store import MemoryStore
 
 STORE_READ = "/v3/kv/range"
-UNTOLD = ("", "unknown-service")
+UNEXPECTED_REASONS = ("", "unknown-service")
 
 
 def _restarted(context: Any) -> Any:
@@ -97,7 +97,7 @@
 def none_unknown(context: Any) -> None:
     assert context.answers
     for answer in context.answers:
-        assert answer.status != 404 and answer.reason not in UNTOLD, answer
+        assert answer.status != 404 and answer.reason not in UNEXPECTED_REASONS, answer
 
 
 @then("that answer is not run, with a time to come back")
@@ -153,4 +153,4 @@
 
 @then("both lookups have ended, and neither says that it does not exist")
 def both_ended(context: Any) -> None:
-    assert context.found == [Found.UNTOLD, Found.UNTOLD], context.found
+    assert context.found == [LookupResult.UNDETERMINED, LookupResult.UNDETERMINED], context.found
--- a/features/steps/overload_steps.py
+++ b/features/steps/overload_steps.py
@@ -7,7 +7,11 @@
 from behave import given, then, when
 
 from pearward_coordination.overload.policy import Mechanism, OverloadPolicy
-from pearward_coordination.overload.returns import TurnedAway, UsualDeadline, back_after_s
+from pearward_coordination.overload.retry_delay import (
+    RefusedRequest,
+    RetryAgeEstimator,
+    retry_delay_s,
+)
 from pearward_coordination.slots import SlotLimits, SlotQueue, SlotTicket
 from pearward_devtools import experiment
 from pearward_devtools.experiment.model import Tally, World
@@ -96,20 +100,20 @@
 
 @then("with {left:g} s left it comes back after {back:g} s")
 def comes_back(context: Any, left: float, back: float) -> None:
-    found = back_after_s(TurnedAway(left, *context.turned_away))
+    found = retry_delay_s(RefusedRequest(left, *context.turned_away))
     assert abs(found - back) < 1e-9, found
 
 
 @given("callers who allow {seconds:g} s for their first try")
 def constant_callers(context: Any, seconds: float) -> None:
-    context.usual = UsualDeadline()
+    context.usual = RetryAgeEstimator()
     context.now = 100.0
     context.allow = lambda: seconds
 
 
 @given("callers who allow between {low:g} s and {high:g} s")
 def varied_callers(context: Any, low: float, high: float) -> None:
-    context.usual = UsualDeadline()
+    context.usual = RetryAgeEstimator()
     context.now = 100.0
     rng = Random(1)
     context.allow = lambda: rng.uniform(low, high)
@@ -202,7 +206,7 @@
 
 def _check_patience(context: Any, rank: int, seconds: float) -> None:
     ticket = _ticket(context, rank, context.objective)
-    found = context.queue.patience_s(ticket, context.now)
+    found = context.queue.max_wait_s(ticket, context.now)
     assert abs(found - seconds) < 0.02, found
 
 
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -13,8 +13,8 @@
 
 from pearward_coordination.grants import GrantedRow, HeldRow, ReleasedRow
 from pearward_daemon.errors import SettingsError
-from pearward_daemon.mesh.dialect import BeatAnswer, ReportedLoad
-from pearward_daemon.mesh.settings import GrantWay, MeshSettings
+from pearward_daemon.mesh.dialect import HeartbeatResponse, ReportedLoad
+from pearward_daemon.mesh.settings import GrantMode, MeshSettings
 from pearward_platform.beats import encode_answer, read_beat
 from pearward_platform.document import read_document
 from pearward_platform.headers import PlatformDialect
@@ -132,26 +132,30 @@
 
 @when("the heartbeat of a target that holds and has let go keys is read")
 def read_good_beat(context: Any) -> None:
-    context.beat = read_beat("i-1", orjson.dumps(BEAT))
+    context.target_heartbeat = read_beat("i-1", orjson.dumps(BEAT))
 
 
 @then("it holds 0..4095 under fence 7 and let 4096..8191 go with a token")
 def beat_rows(context: Any) -> None:
-    beat = context.beat
-    assert beat.held == (HeldRow(0, 4095, 7),)
-    assert beat.released == (ReleasedRow(4096, 8191, "5c0e7a21d94b36f8"),)
-    assert (beat.state, beat.sequence, beat.cold_s) == (TargetState.DRAINING, 4, 1.5)
+    target_heartbeat = context.target_heartbeat
+    assert target_heartbeat.held == (HeldRow(0, 4095, 7),)
+    assert target_heartbeat.released == (ReleasedRow(4096, 8191, "5c0e7a21d94b36f8"),)
+    assert (target_heartbeat.state, target_heartbeat.sequence, target_heartbeat.cold_s) == (
+        TargetState.DRAINING,
+        4,
+        1.5,
+    )
 
 
 @then("an answer that grants 0..4095 for 4 s is written as the platform's targets expect")
 def written_answer(context: Any) -> None:
-    answer = BeatAnswer((GrantedRow(0, 4095, 7, ""),), 4.0)
+    answer = HeartbeatResponse((GrantedRow(0, 4095, 7, ""),), 4.0)
     assert orjson.loads(encode_answer(answer)) == {"holds": [[0, 4095, 7, ""]], "holdMs": 4000}
 
 
 @then("an answer that renews nothing has no rows")
 def no_rows(context: Any) -> None:
-    assert "holds" not in orjson.loads(encode_answer(BeatAnswer()))
+    assert "holds" not in orjson.loads(encode_answer(HeartbeatResponse()))
 
 
 @when("a heartbeat is read whose body is {body}")
@@ -207,7 +211,7 @@
 @when('an answer has the headers "{headers}"')
 def answer_headers(context: Any, headers: str) -> None:
     block = "".join(f"{line.strip()}\r\n" for line in headers.split(";")).encode()
-    context.facts = PlatformDialect().answer_facts(block)
+    context.facts = PlatformDialect().response_facts(block)
 
 
 @then("it is read as {meaning}")
@@ -292,7 +296,7 @@
     assert str(settings.callers) == "10.1.0.41:8629"
     assert str(settings.peers) == "10.1.0.41:7600"
     assert settings.retries.allowance == 64
-    assert settings.grant_way is GrantWay.CALL
+    assert settings.grant_mode is GrantMode.CALL
     assert settings.failure_domains == {"a", "b"}
     assert (settings.domain_drain_s, settings.cold_overage) == (4.0, 1.0)
 
--- a/features/steps/quarantine_fleet_steps.py
+++ b/features/steps/quarantine_fleet_steps.py
@@ -4,7 +4,7 @@
 
 from behave import then, when
 
-from pearward_coordination.quarantine import LONGEST_S
+from pearward_coordination.quarantine import MAX_QUARANTINE_S
 from pearward_state.crashes import CrashRecord
 
 BAD = "bad"
@@ -16,7 +16,7 @@
     world = context.world
     for number in range(count):
         record = CrashRecord(f"i-crashed-{number}", world.now, (BAD, f"beside-{number}"))
-        world.nodes[number].daemon.core.crashes.crashed_here(record)
+        world.nodes[number].daemon.core.crashes.report_local_crash(record)
 
 
 @then("all daemons refuse it after {seconds:g} s")
@@ -26,7 +26,7 @@
     now = world.now
     for node in world.nodes:
         quarantine = node.daemon.core.crashes.quarantine
-        assert quarantine.left_s(BAD, now) > LONGEST_S - 60.0, (node.number, len(quarantine))
+        assert quarantine.left_s(BAD, now) > MAX_QUARANTINE_S - 60.0, (node.number, len(quarantine))
         assert not quarantine.left_s("beside-1", now)
 
 
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -6,7 +6,7 @@
 from behave import given, then, when
 
 from pearward_coordination.quarantine import (
-    LONGEST_S,
+    MAX_QUARANTINE_S,
     Quarantine,
     QuarantineRule,
     Standing,
@@ -74,7 +74,7 @@
 
     def _tell(self, record: CrashRecord) -> None:
         for target in self.targets:
-            target.quarantine.learn(record, self.now, UNIX + self.now)
+            target.quarantine.note_crash(record, self.now, UNIX + self.now)
 
     def ask(self, content: str) -> None:
         """Bring a request to the daemon of the keys' owner."""
@@ -95,7 +95,7 @@
     def _run(self, owner: _Target) -> None:
         waiting, self._waiting = self._waiting, []
         for request in waiting:
-            if owner.guard.barred(request, GOOD_RUNS_S, self.now) is not None:
+            if owner.guard.rejection(request, GOOD_RUNS_S, self.now) is not None:
                 if owner.quarantine.left_s(request.content, self.now):
                     self.rejected.add(request.content)
                 continue
@@ -188,7 +188,7 @@
 
 def _learn(context: Any, *records: CrashRecord) -> None:
     for record in records:
-        context.quarantine.learn(record, context.now, UNIX + context.now)
+        context.quarantine.note_crash(record, context.now, UNIX + context.now)
 
 
 @given("a request that was running when {count:d} targets crashed")
@@ -225,14 +225,14 @@
         context.quarantine, DecisionLog(0, lambda: START), context.told.append
     )
     request = _Request(BAD)
-    assert context.guard.barred(request, GOOD_RUNS_S, context.now) is None
+    assert context.guard.rejection(request, GOOD_RUNS_S, context.now) is None
     context.guard.ended(request, "id", Outcome.SERVED, None, context.now)
 
 
 @when("a third target crashes while it runs it")
 def crashes_under(context: Any) -> None:
     request = _Request(BAD)
-    assert context.guard.barred(request, GOOD_RUNS_S, context.now) is None
+    assert context.guard.rejection(request, GOOD_RUNS_S, context.now) is None
     context.guard.ended(request, "id", Outcome.UNKNOWN, Reason.SERVER_FAILED, context.now)
     context.guard.target_crashed("i-third", "it", context.now, UNIX + context.now)
 
@@ -254,16 +254,16 @@
 @when("both are to run at one target")
 def both_run(context: Any) -> None:
     context.pair = [_Request("one"), _Request("two")]
-    context.barred = [context.guard.barred(r, GOOD_RUNS_S, context.now) for r in context.pair]
+    context.rejection = [context.guard.rejection(r, GOOD_RUNS_S, context.now) for r in context.pair]
 
 
 @then("the first one runs, and the other is told to come back in a moment")
 def one_runs(context: Any) -> None:
-    first, second = context.barred
+    first, second = context.rejection
     assert first is None
-    assert second.back_after_s == GOOD_RUNS_S, second
+    assert second.retry_delay_s == GOOD_RUNS_S, second
     # Asked again on its way to the target, the first one is not in its own way.
-    assert context.guard.barred(context.pair[0], GOOD_RUNS_S, context.now) is None
+    assert context.guard.rejection(context.pair[0], GOOD_RUNS_S, context.now) is None
 
 
 @when("the first of the two has ended")
@@ -273,13 +273,13 @@
 
 @then("the other one runs")
 def other_runs(context: Any) -> None:
-    assert context.guard.barred(context.pair[1], GOOD_RUNS_S, context.now) is None
+    assert context.guard.rejection(context.pair[1], GOOD_RUNS_S, context.now) is None
 
 
 @when("a whole quarantine has passed")
 def quarantine_over(context: Any) -> None:
-    assert context.quarantine.left_s(BAD, context.now) == LONGEST_S
-    context.now += LONGEST_S
+    assert context.quarantine.left_s(BAD, context.now) == MAX_QUARANTINE_S
+    context.now += MAX_QUARANTINE_S
 
 
 @then("it may run alone")
@@ -294,7 +294,7 @@
 
 @then("it is refused for a whole quarantine")
 def refused_whole(context: Any) -> None:
-    assert context.quarantine.left_s(BAD, context.now) == LONGEST_S
+    assert context.quarantine.left_s(BAD, context.now) == MAX_QUARANTINE_S
 
 
 @when("both crashes are heard of once more")
@@ -332,7 +332,7 @@
     for number in range(count):
         request = _Request(f"r{number}")
         context.guard.ended(request, "id", Outcome.UNKNOWN, Reason.SERVER_FAILED, context.now)
-    assert context.guard.doubts_target == bool(count)
+    assert context.guard.target_suspected == bool(count)
 
 
 def _leave(context: Any, content: str, at: float) -> None:
@@ -366,7 +366,7 @@
 
 @then("the target's end is not looked for")
 def not_looked_for(context: Any) -> None:
-    assert not context.guard.doubts_target
+    assert not context.guard.target_suspected
 
 
 @when("the target ends after it said that it leaves")
--- a/features/steps/same_id_steps.py
+++ b/features/steps/same_id_steps.py
@@ -8,8 +8,8 @@
 
 sys.path.insert(0, str(Path(__file__).parents[2]))
 
-from pearward_coordination.incarnations import BeatClock, BeatSign
-from pearward_daemon.mesh.settings import GrantWay
+from pearward_coordination.incarnations import HeartbeatIdentity, IncarnationTracker
+from pearward_daemon.mesh.settings import GrantMode
 from pearward_state.members import target_id
 
 LATE_S = 12.0
@@ -17,7 +17,7 @@
 
 @given("targets that take keys by heartbeats")
 def by_heartbeat(context: Any) -> None:
-    context.way = GrantWay.HEARTBEAT
+    context.way = GrantMode.HEARTBEAT
 
 
 @given("targets that tell when they were born")
@@ -38,7 +38,7 @@
 @when("target {number:d} starts again under its id, born {told}")
 def starts_again(context: Any, number: int, told: str) -> None:
     node = context.world.nodes[number]
-    context.former = node.daemon.core.side.keeper.target
+    context.former = node.daemon.core.local_target.grant_manager.target
     context.world.restart_target(node, born=told == "told")
 
 
@@ -75,30 +75,30 @@
 
 @then("the daemon beside target {number:d} knows two lives of it")
 def two_lives(context: Any, number: int) -> None:
-    now = context.world.nodes[number].daemon.core.side.keeper.target
+    now = context.world.nodes[number].daemon.core.local_target.grant_manager.target
     assert now != context.former, now
     assert target_id(now) == target_id(context.former), (now, context.former)
 
 
 @then("the daemon beside target {number:d} knows the newer life")
 def newer_life(context: Any, number: int) -> None:
-    now = context.world.nodes[number].daemon.core.side.keeper.target
-    assert now == f"{context.newest.id}~{context.newest._born_ms}", now
+    now = context.world.nodes[number].daemon.core.local_target.grant_manager.target
+    assert now == f"{context.newest.id}~{context.newest._started_ms}", now
 
 
 # -- what one daemon makes of heartbeats ----------------------------------------------------------
 
 
-def _hear(context: Any, sequence: int, born_ms: int | None = None) -> str | None:
+def _hear(context: Any, sequence: int, started_ms: int | None = None) -> str | None:
     context.now += 0.87
-    sign = BeatSign("t", born_ms, sequence, holds_nothing=True)
+    sign = HeartbeatIdentity("t", started_ms, sequence, holds_nothing=True)
     return context.clock.incarnation_of(sign, context.now, 99_000)
 
 
 @given('a daemon that has heard heartbeats 1 to {last:d} of "t"')
 @given('a daemon that has heard heartbeats 1 to {last:d} of "t" born at {born:d}')
 def heard_beats(context: Any, last: int, born: int | None = None) -> None:
-    context.clock = BeatClock()
+    context.clock = IncarnationTracker()
     context.now = 100.0
     for sequence in range(1, last + 1):
         assert _hear(context, sequence, born) is not None
@@ -107,7 +107,9 @@
 @when("heartbeats {one:d} and {other:d} come late at the same moment")
 def late_together(context: Any, one: int, other: int) -> None:
     context.now += LATE_S
-    signs = [BeatSign("t", None, sequence, holds_nothing=True) for sequence in (one, other)]
+    signs = [
+        HeartbeatIdentity("t", None, sequence, holds_nothing=True) for sequence in (one, other)
+    ]
     context.late = [context.clock.incarnation_of(s, context.now, 99_000) for s in signs]
 
 
--- a/features/steps/settings_steps.py
+++ b/features/steps/settings_steps.py
@@ -9,7 +9,7 @@
 import yaml
 from behave import given, then, when
 
-from pearward_daemon.mesh.settings import GrantWay, MeshSettings
+from pearward_daemon.mesh.settings import GrantMode, MeshSettings
 from pearward_state.errors import InvalidField
 
 VALID: dict[str, Any] = {
@@ -101,4 +101,4 @@
 @then("they are taken, with keys given by heartbeat")
 def mesh_taken(context: Any) -> None:
     settings = MeshSettings.from_config(context.settings)
-    assert settings.grant_way is GrantWay.HEARTBEAT
+    assert settings.grant_mode is GrantMode.HEARTBEAT
--- a/features/steps/size_steps.py
+++ b/features/steps/size_steps.py
@@ -11,10 +11,10 @@
 from pearward_coordination.attempt_plan import AttemptPlan, NextStep, RequestTimes
 from pearward_coordination.directory import Directory
 from pearward_coordination.key_load import WINDOW_S, KeyCount, KeyLoadTable
-from pearward_coordination.key_pieces import KeyOwner
+from pearward_coordination.key_segments import KeyOwner
 from pearward_coordination.keyplan import PlanLimits, first_map, plan_moves
-from pearward_coordination.load_watch import LOOK_INTERVAL_S, LoadWatch
-from pearward_coordination.selection import IdleOdds, TargetLoad, choose_target
+from pearward_coordination.load_watch import CHECK_INTERVAL_S, LoadWatch
+from pearward_coordination.selection import FreeSlotOdds, TargetLoad, choose_target
 from pearward_coordination.slots import Refused, SlotTicket
 from pearward_state.keymap import KEY_SPACE
 from pearward_state.members import Member, TargetState
@@ -80,12 +80,12 @@
 
 @then("each key's rate is what its faded counts give")
 def same_rates(context: Any) -> None:
-    seen_s = context.loads.seen_s(context.now)
-    rates = {row.key: row.rate * seen_s for row in context.loads.rates(context.now)}
+    observed_s = context.loads.observed_s(context.now)
+    rates = {row.key: row.rate * observed_s for row in context.loads.rates(context.now)}
     for key, weight in context.faded.items():
         told = rates.get(key, 0.0)
         assert abs(told - weight) < 0.021, (key, told, weight)
-    total = context.loads.rate(context.now) * seen_s
+    total = context.loads.rate(context.now) * observed_s
     assert abs(total - sum(context.faded.values())) < 1e-6 * total + 1.1, total
 
 
@@ -116,9 +116,9 @@
 def few_left(context: Any, left: int) -> None:
     for number in range(75 - left):
         if number % 2:
-            context.directory.refused(f"t{number}")
+            context.directory.note_refused(f"t{number}")
         else:
-            context.directory.unreachable(f"t{number}", NOW)
+            context.directory.note_unreachable(f"t{number}", NOW)
 
 
 @when("it looks {times:d} times for a target")
@@ -151,7 +151,7 @@
     for directory in context.directories:
         for number in range(targets):
             load = TargetLoad(2, 0, 6, 0.6 if number % 3 else 0.3)
-            directory.loaded(f"t{number}", load, NOW - 5.0)
+            directory.note_load(f"t{number}", load, NOW - 5.0)
 
 
 @when("each of them sends {requests:d} requests")
@@ -161,7 +161,7 @@
     for directory in context.directories:
         for _ in range(requests):
             candidates = directory.candidates("s", NOW, 0.0, frozenset(), rng)
-            chosen = choose_target(candidates, NOW, rng, usual_s=directory.usual_s("s"))
+            chosen = choose_target(candidates, NOW, rng, mean_run_s=directory.mean_run_s("s"))
             assert chosen is not None
             context.sent[chosen.target] = context.sent.get(chosen.target, 0) + 1
             chosen.view.in_flight += 1
@@ -193,7 +193,7 @@
 
 @then("the next target may be one of these two")
 def may_be_asked_again(context: Any) -> None:
-    assert context.plan.asks_last
+    assert context.plan.is_last_slot_request
     assert not context.plan.excluded
     assert context.plan.full_targets == {"t1", "t2"}
 
@@ -206,7 +206,7 @@
 
 @given("a service of whose targets 9 in 10 have a queue")
 def rush(context: Any) -> None:
-    context.odds = IdleOdds()
+    context.odds = FreeSlotOdds()
     context.rng = Random(4)
 
 
@@ -219,9 +219,9 @@
     """Let requests look for a target; return how many ask for a place without a queue."""
     asked = 0
     for _ in range(count):
-        if context.odds.worth_asking():
+        if context.odds.should_probe():
             asked += 1
-            context.odds.asked(found=context.rng.random() < free)
+            context.odds.note_probe(found=context.rng.random() < free)
     return asked
 
 
@@ -257,15 +257,15 @@
     watch = LoadWatch(PlanLimits())
     now = NOW
     while now < NOW + seconds:
-        now += LOOK_INTERVAL_S
+        now += CHECK_INTERVAL_S
         counts: dict[int, int] = {}
         for (first, last), rate in context.rates.items():
-            mean = rate * LOOK_INTERVAL_S
+            mean = rate * CHECK_INTERVAL_S
             for _ in range(max(0, round(rng.gauss(mean, mean**0.5)))):
                 key = rng.randint(first, last)
                 counts[key] = counts.get(key, 0) + 1
         watch.reported([KeyCount(key, key, count) for key, count in counts.items()], now)
-        load, _ = watch.look(context.key_map, now)
+        load, _ = watch.check(context.key_map, now)
         if not watch.may_move(now):
             continue
         moved = plan_moves(context.key_map, context.owners, load, frozenset(), PlanLimits())
--- a/features/steps/store_return_steps.py
+++ b/features/steps/store_return_steps.py
@@ -14,22 +14,22 @@
 
 from pearward_coordination import grants
 from pearward_coordination.era_settling import FormerLeases, settled
-from pearward_coordination.grants import GrantKeeper, GrantTiming
-from pearward_coordination.key_pieces import KeyOwner
+from pearward_coordination.grants import GrantManager, GrantTiming
+from pearward_coordination.key_segments import KeyOwner
 from pearward_coordination.keyplan import first_map
 from pearward_coordination.lease import LeaseTiming
 from pearward_coordination.messages import AskRelease, Renew
 from pearward_coordination.target_witness import TargetWitness
-from pearward_daemon.mesh.settings import GrantWay
+from pearward_daemon.mesh.settings import GrantMode
 from pearward_protocol.entries import decode_key_map, key_map_key, member_key
-from pearward_state.eras import ERA_SPAN, era_of, first_of, next_number
+from pearward_state.eras import ERA_SPAN, era_of, era_start, next_number
 from pearward_state.keymap import KEY_SPACE, KeyMap
 from pearward_transport.errors import CasConflict
 from tests.fuzz.mesh_targets import SERVICE
 from tests.fuzz.returning_store import Play
 
 NOW = 1000.0
-WAYS = {"heartbeat": GrantWay.HEARTBEAT, "call": GrantWay.CALL}
+WAYS = {"heartbeat": GrantMode.HEARTBEAT, "call": GrantMode.CALL}
 TIMING = LeaseTiming(lease_s=grants.LEASE_S, renew_s=grants.RENEW_S)
 MOVES_S = 4.0
 """Seconds in which a target that leaves hands all of its keys over."""
@@ -81,16 +81,16 @@
 # -- plays ---------------------------------------------------------------------------------
 
 
-def _begins_when_released(self: GrantKeeper, owned: Any, now: float) -> bool:
+def _begins_when_released(self: GrantManager, owned: Any, now: float) -> bool:
     """Whether keys can be granted, by their predecessors alone."""
-    begun = self._has_begun(owned)
-    return begun or all(self._let_go(p, owned, now) for p in owned.predecessors)
+    begun = self._is_granted(owned)
+    return begun or all(self._has_released(p, owned, now) for p in owned.predecessors)
 
 
 RULES: dict[str, tuple[Any, str, Callable[..., bool]]] = {
-    "nobody begins keys while a map is unsettled": (GrantKeeper, "_ready", _begins_when_released),
+    "nobody begins keys while a map is unsettled": (GrantManager, "_ready", _begins_when_released),
     "instances wait out what lost maps let them grant": (
-        FormerLeases, "are_over", lambda self, key_map, instances: True,
+        FormerLeases, "have_ended", lambda self, key_map, instances: True,
     ),
 }  # fmt: skip
 
@@ -161,31 +161,31 @@
 @then("in eras {first:d} to {last:d} each number is above all that any earlier era can give")
 def above_earlier(context: Any, first: int, last: int) -> None:
     for era in range(first, last + 1):
-        highest = first_of(era) - 1
+        highest = era_start(era) - 1
         assert next_number(0, era) > highest == next_number(highest - 1, era - 1)
-        assert era_of(next_number(0, era)) == era == era_of(first_of(era) + ERA_SPAN - 1)
+        assert era_of(next_number(0, era)) == era == era_of(era_start(era) + ERA_SPAN - 1)
 
 
-def _keeper(key_map: KeyMap) -> GrantKeeper:
-    keeper = GrantKeeper("service", NOW - 60.0, GrantTiming())
-    keeper.target_changed("t0")
-    keeper.adopt(key_map, NOW)
-    keeper.lease_until(NOW + 60.0)
-    keeper.heartbeat(NOW, (), ())
-    return keeper
+def _grant_manager(key_map: KeyMap) -> GrantManager:
+    grant_manager = GrantManager("service", NOW - 60.0, GrantTiming())
+    grant_manager.target_changed("t0")
+    grant_manager.adopt(key_map, NOW)
+    grant_manager.set_lease_end(NOW + 60.0)
+    grant_manager.heartbeat(NOW, (), ())
+    return grant_manager
 
 
 def _in_era(key_map: KeyMap, era: int) -> KeyMap:
     """Return a map as the planner numbers it in a later era."""
     version = next_number(key_map.version, era)
-    return replace(key_map, version=version, fence=first_of(era), unsettled=True)
+    return replace(key_map, version=version, fence=era_start(era), unsettled=True)
 
 
 @given("a target that was granted keys by a map of era 1")
 def granted_in_era_1(context: Any) -> None:
     context.map = first_map("service", [KeyOwner("t0", 10.0)], era=1)
-    context.keeper = _keeper(context.map)
-    rows, context.hold_s = context.keeper.grant(NOW, NOW)
+    context.grant_manager = _grant_manager(context.map)
+    rows, context.hold_s = context.grant_manager.grant(NOW, NOW)
     assert [row.fence for row in rows] == [context.map.fence]
     context.now = NOW
 
@@ -199,11 +199,11 @@
 @when("its daemon adopts that map as era 2 numbers it")
 def adopts_in_time(context: Any) -> None:
     context.next = _in_era(context.map, 2)
-    context.keeper.adopt(context.next, context.now)
+    context.grant_manager.adopt(context.next, context.now)
 
 
 def _granted(context: Any) -> list[int]:
-    given_rows, _ = context.keeper.grant(context.now, context.now)
+    given_rows, _ = context.grant_manager.grant(context.now, context.now)
     return [row.fence for row in given_rows]
 
 
@@ -212,14 +212,14 @@
     assert _granted(context) == []
     version = context.next.version + 1
     context.next = replace(context.next, version=version, unsettled=False)
-    context.keeper.adopt(context.next, context.now)
+    context.grant_manager.adopt(context.next, context.now)
     assert _granted(context) == []
 
 
 @when("the planner has settled the map")
 def planner_settles(context: Any) -> None:
-    owner = KeyOwner("t0", 10.0, tuple(context.keeper.confirmed()), reported=True)
-    context.keeper.adopt(settled(context.next, [owner]), context.now)
+    owner = KeyOwner("t0", 10.0, tuple(context.grant_manager.confirmed()), reported=True)
+    context.grant_manager.adopt(settled(context.next, [owner]), context.now)
 
 
 @then("it is granted its keys under a fence of era {era:d}")
@@ -231,23 +231,23 @@
 def another_ones(context: Any) -> None:
     taken = tuple(replace(r, owner="t1", fence=next_number(0, 2)) for r in context.map.ranges)
     context.next = replace(_in_era(context.map, 2), ranges=taken, fence=next_number(0, 2))
-    context.keeper.adopt(context.next, context.now)
+    context.grant_manager.adopt(context.next, context.now)
     context.now += 60.0
 
 
 @then("it lets nobody have them by map {number:d} of era {era:d}")
 def lets_nobody_have(context: Any, number: int, era: int) -> None:
     def release(version: int) -> Any:
-        return context.keeper.release_of(
+        return context.grant_manager.released_rows(
             "t0", 0, KEY_SPACE - 1, context.map.fence, version, context.now
         )
 
-    assert release(first_of(era) + number) is None
+    assert release(era_start(era) + number) is None
     assert release(context.next.version) is not None
 
 
 def _renew(context: Any, number: int, era: int, known: int, now: float) -> bool:
-    ask = Renew("service", 1, first_of(era) + number, 0, 0, "t0")
+    ask = Renew("service", 1, era_start(era) + number, 0, 0, "t0")
     return bool(context.witness.on_renew(ask, known, now).granted)
 
 
@@ -255,14 +255,14 @@
 def witness_renewed(context: Any, number: int, era: int) -> None:
     context.witness = TargetWitness(NOW - 60.0, TIMING)
     context.witness.map_read(era)
-    context.known = first_of(era) + number
+    context.known = era_start(era) + number
     context.now = NOW
     assert _renew(context, number, era, context.known, NOW)
 
 
 @when("it has renewed that owner by map 1 of era 2 and acts on map 9 of era 1")
 def renewed_by_later(context: Any) -> None:
-    context.known = first_of(1) + 9
+    context.known = era_start(1) + 9
     assert _renew(context, 1, 2, context.known, NOW + 1.0)
     # What was granted by the older map has run out, what was granted by the later one has not.
     context.now = NOW + TIMING.lease_s + 0.1
@@ -270,13 +270,13 @@
 
 @when("it acts on map 1 of era 2 and its grants have run out")
 def acts_on_later(context: Any) -> None:
-    context.known = first_of(2) + 1
+    context.known = era_start(2) + 1
     context.now = NOW + 60.0
 
 
 @when("it acts on map 1 of era 2")
 def acts_on_era_2(context: Any) -> None:
-    context.known = first_of(2) + 1
+    context.known = era_start(2) + 1
 
 
 def _released(context: Any, owner: str, version: int, now: float) -> bool:
@@ -286,7 +286,7 @@
 
 @then("it releases the owner to nobody by map {number:d} of era {era:d}")
 def releases_to_nobody(context: Any, number: int, era: int) -> None:
-    assert not _released(context, "t0", first_of(era) + number, context.now)
+    assert not _released(context, "t0", era_start(era) + number, context.now)
 
 
 @then("it says after {seconds:g} s, and not before, that no lease runs by maps of era 1")
@@ -303,8 +303,8 @@
 
 @then("it renews an owner by map 1 of era 2 and by no map of era 1")
 def renews_only_later(context: Any) -> None:
-    assert not _renew(context, 9, 1, first_of(1) + 9, NOW)
-    assert _renew(context, 1, 2, first_of(2) + 1, NOW)
+    assert not _renew(context, 9, 1, era_start(1) + 9, NOW)
+    assert _renew(context, 1, 2, era_start(2) + 1, NOW)
 
 
 @when(
--- a/packages/coordination/src/pearward_coordination/agent.py
+++ b/packages/coordination/src/pearward_coordination/agent.py
@@ -173,7 +173,7 @@
         self._ownership.server_revoked(grant.version)
         return self.tick(now)
 
-    def server_forgot(self) -> None:
+    def server_lost_grants(self) -> None:
         """Send all grants again, after the server has refused a request because it had no grant."""
         self._granted = None
 
--- a/packages/coordination/src/pearward_coordination/attempt_plan.py
+++ b/packages/coordination/src/pearward_coordination/attempt_plan.py
@@ -66,7 +66,7 @@
     slot_refusals: int = 0
     """Number of attempts that were refused because the target had no slot."""
     full_targets: set[str] = field(default_factory=set)
-    sent_on: bool = False
+    body_consumed: bool = False
     """Whether the body is being forwarded as a stream, so that it cannot be sent again."""
 
     def waits_for_owner(self, now: float) -> bool:
@@ -74,7 +74,7 @@
         return not self.slot_refusals and now + OWNER_WAIT_S <= self.times.owner_wait_ends
 
     @property
-    def asks_last(self) -> bool:
+    def is_last_slot_request(self) -> bool:
         """Whether the next target is the last that is requested for a slot."""
         return self.slot_refusals + 1 >= MAX_SLOT_REQUESTS
 
@@ -85,7 +85,9 @@
         The last attempt may use a target that had no free slot, since the state of its queue is
         known from its refusal and is newer than that of most other targets.
         """
-        return frozenset(self.tried - self.full_targets if self.asks_last else self.tried)
+        return frozenset(
+            self.tried - self.full_targets if self.is_last_slot_request else self.tried
+        )
 
     def arrived(self) -> bool:
         """Record that a target has received the request; return whether it is the first."""
@@ -94,7 +96,7 @@
 
     def after_failure(self, outcome: Outcome, reason: Reason, target: str, now: float) -> NextStep:
         """Return the next step after an attempt at *target* that ended without a response."""
-        if self.sent_on or self.times.deadline - now < MIN_RETRY_TIME_S:
+        if self.body_consumed or self.times.deadline - now < MIN_RETRY_TIME_S:
             return NextStep.GIVE_UP
         if outcome is Outcome.NOT_RUN and reason in _REROUTABLE:
             return self._reroute(reason, target, now)
@@ -107,7 +109,7 @@
     def repeat(self, target: str, now: float) -> NextStep:
         """Return whether another target may receive the request (REPEAT) after *target* has."""
         self.tried.add(target)
-        if self.sent_on or self.times.deadline - now < MIN_RETRY_TIME_S:
+        if self.body_consumed or self.times.deadline - now < MIN_RETRY_TIME_S:
             return NextStep.GIVE_UP
         return NextStep.REPEAT if self.arrivals < self.max_attempts else NextStep.GIVE_UP
 
--- a/packages/coordination/src/pearward_coordination/cold_limit.py
+++ b/packages/coordination/src/pearward_coordination/cold_limit.py
@@ -37,13 +37,13 @@
         """Set the requests per second of a cold target; 0 sets no limit."""
         self._per_s = per_s
 
-    def told(self, cold_s: float, now: float) -> None:
+    def set_cold_time(self, cold_s: float, now: float) -> None:
         """Set the seconds for which the target reports that it stays cold."""
         self._cold_until = now + cold_s if cold_s > 0.0 else 0.0
         if self._suspected_at is not None and now - self._suspected_at >= TRANSIT_S:
             self._suspected_at = None
 
-    def doubt(self, now: float) -> None:
+    def suspect_cold(self, now: float) -> None:
         """Note that the target possibly became cold and counts as such until it reports."""
         self._suspected_at = now
 
@@ -61,7 +61,7 @@
         """Return the present limit in requests per second, or None if there is none."""
         return self._per_s if self._per_s > 0.0 and self.is_cold(now) else None
 
-    def room_in_s(self, now: float) -> float:
+    def capacity_in_s(self, now: float) -> float:
         """Return the seconds until one more request may be sent; 0 if at once."""
         if self.rate(now) is None:
             return 0.0
--- a/packages/coordination/src/pearward_coordination/contact.py
+++ b/packages/coordination/src/pearward_coordination/contact.py
@@ -38,7 +38,7 @@
         self._record = record
         self._addresses = frozenset(m.peer for m in record.members) - {self._me.address}
 
-    def heard(self, peer: PeerId, now: float) -> None:
+    def note_received(self, peer: PeerId, now: float) -> None:
         """Record a message of another daemon, unless that is no member of the cell."""
         if self._record is None or peer.address not in self._addresses:
             return
@@ -46,7 +46,7 @@
         if _is_unretired(self._record, peer.incarnation):
             self._last_received_from_member = now
 
-    def is_alone(self, now: float) -> bool:
+    def is_isolated(self, now: float) -> bool:
         """Return whether there are other active or draining members, but no message arrives."""
         if self._record is None or now - self._last_received < CONTACT_TIMEOUT_S:
             return False
@@ -55,7 +55,7 @@
             for m in self._record.members
         )
 
-    def answered(self, peer: PeerId, now: float) -> None:
+    def note_reply(self, peer: PeerId, now: float) -> None:
         """Record another daemon's reply to a request of this one."""
         if peer.address in self._addresses:
             self._last_reply = now
@@ -71,15 +71,15 @@
         """
         if self._record is None:
             return True
-        if self.is_alone(now):
+        if self.is_isolated(now):
             return False
         if _is_unretired(self._record, self._me.incarnation):
             return now - self._last_reply < CONTACT_TIMEOUT_S
         return now - self._last_received_from_member >= CONTACT_TIMEOUT_S
 
-    def handicap_s(self, now: float, *, lease_held: bool) -> float:
+    def election_delay_s(self, now: float, *, lease_held: bool) -> float:
         """Return the delay in s before this daemon tries to acquire the coordinator's role."""
-        if self.is_alone(now):
+        if self.is_isolated(now):
             return ISOLATED_DELAY_S
         return 0.0 if self._record is None or lease_held else NO_LEASE_DELAY_S
 
--- a/packages/coordination/src/pearward_coordination/coordinator.py
+++ b/packages/coordination/src/pearward_coordination/coordinator.py
@@ -108,7 +108,7 @@
             self._at_address[peer.address] = peer.incarnation
             self._dirty = True
 
-    def has_ended(self, incarnations: Iterable[str]) -> None:
+    def note_ended(self, incarnations: Iterable[str]) -> None:
         """Record evidence that some incarnations can never act again.
 
         The evidence is a Hello of another incarnation on a connection that was opened to their
@@ -123,7 +123,7 @@
 
     def _note_terminated(self, incarnations: Iterable[str]) -> None:
         """Record that some incarnations have ended, without waiting for successors of them."""
-        self.has_ended(incarnations)
+        self.note_ended(incarnations)
         self._replaced.difference_update(incarnations)
 
     def instances_listed(self, instances: Iterable[Instance], record: CellRecord) -> None:
--- a/packages/coordination/src/pearward_coordination/directory.py
+++ b/packages/coordination/src/pearward_coordination/directory.py
@@ -15,7 +15,15 @@
 
 from pearward_state.members import Member, TargetState
 
-from .selection import FAR_LOOKS, NEAR_LOOKS, Candidate, LoadView, MeanService, TargetLoad, draw
+from .selection import (
+    FAR_SAMPLES,
+    NEAR_SAMPLES,
+    Candidate,
+    LoadView,
+    MeanRunningTime,
+    TargetLoad,
+    draw,
+)
 
 if TYPE_CHECKING:
     from random import Random
@@ -57,14 +65,16 @@
 class Directory:
     """Members that are known to this daemon, by instance and by target."""
 
-    def __init__(self, failure_domain: str, instance: str = "", *, few_looks: bool = True) -> None:
+    def __init__(
+        self, failure_domain: str, instance: str = "", *, sample_candidates: bool = True
+    ) -> None:
         self._failure_domain = failure_domain
         self._instance = instance
-        self._few_looks = few_looks
+        self._sample_candidates = sample_candidates
         self._groups: dict[str, _Group] = {}
         """Cache by service; cleared when a member is added, changed or removed, or when the drained
         failure domains change."""
-        self._services: dict[str, MeanService] = {}
+        self._services: dict[str, MeanRunningTime] = {}
         self._registered: tuple[Member, ...] | None = None
         """Cached members that have an entry; None after a change."""
         self._lapsed: set[str] = set()
@@ -83,7 +93,7 @@
         present = {member.instance: member for member in members}
         for instance in list(self._by_instance):
             if instance not in present:
-                self.entry_gone(instance, now)
+                self.entry_removed(instance, now)
         for member in present.values():
             self.entry_written(member)
 
@@ -106,7 +116,7 @@
         if member.target:
             self._by_target[member.target] = known
 
-    def entry_gone(self, instance: str, now: float) -> None:
+    def entry_removed(self, instance: str, now: float) -> None:
         """Record that an entry lapsed or was deleted."""
         known = self._by_instance.get(instance)
         if known is not None and known.lapsed_at is None:
@@ -127,13 +137,13 @@
         self._invalidate()
         self._drained = dict(domains)
 
-    def heard(self, target: str, now: float) -> None:
+    def note_alive(self, target: str, now: float) -> None:
         """Record a response or report of a target's daemon, which proves that it is alive."""
         known = self._by_target.get(target)
         if known is not None:
             known.last_received = now
 
-    def unreachable(self, target: str, now: float) -> None:
+    def note_unreachable(self, target: str, now: float) -> None:
         """Record that a target's daemon was unreachable; remove the member if it is missing."""
         known = self._by_target.get(target)
         if known is None:
@@ -142,7 +152,7 @@
         if self._missing_s(known, now) >= 0.0:
             self._remove(known)
 
-    def refused(self, target: str) -> None:
+    def note_refused(self, target: str) -> None:
         """Record that a target's daemon has refused new work."""
         known = self._by_target.get(target)
         if known is not None:
@@ -251,18 +261,18 @@
         known = self._by_target.get(target)
         return known.view if known is not None else None
 
-    def loaded(self, target: str, load: TargetLoad, now: float) -> None:
+    def note_load(self, target: str, load: TargetLoad, now: float) -> None:
         """Record the load of a target from its daemon's response."""
         known = self._by_target.get(target)
         if known is None:
             return
         known.last_received = now
         known.view.reported(load, now)
-        self._services.setdefault(known.member.service, MeanService()).reported(load)
+        self._services.setdefault(known.member.service, MeanRunningTime()).reported(load)
 
-    def usual_s(self, service: str) -> float:
+    def mean_run_s(self, service: str) -> float:
         """Return the mean running time of a service's requests in seconds."""
-        return self._services.setdefault(service, MeanService()).seconds
+        return self._services.setdefault(service, MeanRunningTime()).seconds
 
     def candidates(
         self,
@@ -285,9 +295,9 @@
             drained = self.is_drained(known.member.failure_domain)
             return not drained and known.unreachable_until <= now and _accepts(known, tried)
 
-        near_looks = NEAR_LOOKS if self._few_looks else len(group.near)
-        far_looks = FAR_LOOKS if self._few_looks else len(group.far)
-        found = draw(group.near, near_looks, usable, rng) + draw(group.far, far_looks, usable, rng)
+        near_count = NEAR_SAMPLES if self._sample_candidates else len(group.near)
+        far_count = FAR_SAMPLES if self._sample_candidates else len(group.far)
+        found = draw(group.near, near_count, usable, rng) + draw(group.far, far_count, usable, rng)
         for target in queried:
             known = self._by_target.get(target)
             if known is not None and known not in found and usable(known):
--- a/packages/coordination/src/pearward_coordination/drain_view.py
+++ b/packages/coordination/src/pearward_coordination/drain_view.py
@@ -52,7 +52,7 @@
         if revision > self._state.revision:
             self._state = DomainDrains(revision, self._state.domains)
 
-    def told(self, state: DomainDrains, now: float) -> bool:
+    def merge(self, state: DomainDrains, now: float) -> bool:
         """Apply another daemon's state; return whether a different set is in force."""
         return self._take(state, now)
 
--- a/packages/coordination/src/pearward_coordination/era_settling.py
+++ b/packages/coordination/src/pearward_coordination/era_settling.py
@@ -16,10 +16,10 @@
 from pearward_state.eras import era_of, next_number
 from pearward_state.keymap import KeyMap, KeyRange
 
-from .key_pieces import KeyOwner
+from .key_segments import KeyOwner
 from .lease import majority
 
-__all__ = ["FormerLeases", "fenced_anew", "has_former_fences", "settled"]
+__all__ = ["FormerLeases", "has_old_fences", "settled", "with_new_fences"]
 
 
 class FormerLeases:
@@ -29,20 +29,20 @@
         self._era = 0
         self._ended: set[str] = set()
 
-    def over_at(self, instance: str, version: int) -> None:
+    def note_ended_at(self, instance: str, version: int) -> None:
         """Record an instance's confirmation for the era of *version*, unless that era is past."""
         self._note_era(era_of(version))
         if era_of(version) == self._era:
             self._ended.add(instance)
 
-    def waits_for(self, key_map: KeyMap, instances: frozenset[str]) -> frozenset[str]:
+    def unconfirmed(self, key_map: KeyMap, instances: frozenset[str]) -> frozenset[str]:
         """Return the instances without a confirmation for the era of a map."""
         self._note_era(key_map.era)
         return instances - self._ended
 
-    def are_over(self, key_map: KeyMap, instances: frozenset[str]) -> bool:
+    def have_ended(self, key_map: KeyMap, instances: frozenset[str]) -> bool:
         """Return whether the unconfirmed instances form no majority of any witness set."""
-        missing = len(self.waits_for(key_map, instances))
+        missing = len(self.unconfirmed(key_map, instances))
         sizes = [len(names) for row in key_map.witnesses for names in row.sets]
         return missing < majority(min(sizes, default=0))
 
@@ -55,16 +55,16 @@
 def settled(key_map: KeyMap, owners: Sequence[KeyOwner]) -> KeyMap:
     """Return the next version of the map, in which no target can hold keys under a lost map."""
     now_settled = replace(key_map, version=key_map.version + 1, unsettled=False)
-    fenced = fenced_anew(now_settled, owners)
+    fenced = with_new_fences(now_settled, owners)
     return replace(fenced or now_settled, version=now_settled.version)
 
 
-def has_former_fences(key_map: KeyMap) -> bool:
+def has_old_fences(key_map: KeyMap) -> bool:
     """Return whether a range has a fence of an earlier era than the map's."""
     return any(era_of(r.fence) < key_map.era for r in key_map.ranges)
 
 
-def fenced_anew(key_map: KeyMap, owners: Sequence[KeyOwner]) -> KeyMap | None:
+def with_new_fences(key_map: KeyMap, owners: Sequence[KeyOwner]) -> KeyMap | None:
     """Return the next version of a settled map, or None if no fence has to change.
 
     A range with a fence of an earlier era gets one of the present era if its owner has reported
--- a/packages/coordination/src/pearward_coordination/spread.py
+++ b/packages/coordination/src/pearward_coordination/gossip.py
@@ -18,7 +18,7 @@
 if TYPE_CHECKING:
     from random import Random
 
-__all__ = ["RecordSpread", "VersionedValue"]
+__all__ = ["RecordGossip", "VersionedValue"]
 
 FANOUT = 3
 """Number of peers to which a new version is announced at once."""
@@ -34,7 +34,7 @@
     value: bytes
 
 
-class RecordSpread:
+class RecordGossip:
     """Versioned values that this daemon holds."""
 
     def __init__(self, rng: Random) -> None:
--- a/packages/coordination/src/pearward_coordination/grant_calls.py
+++ b/packages/coordination/src/pearward_coordination/grant_calls.py
@@ -19,15 +19,15 @@
 
 from pearward_state.keymap import KeyRange
 
-from .grants import CLOCK_SLACK, MIN_HOLD_S, GrantedRow, GrantKeeper, HeldRow, ReleasedRow
+from .grants import CLOCK_SLACK, MIN_HOLD_S, GrantedRow, GrantManager, HeldRow, ReleasedRow
 from .hold_ledger import Hold
 
-__all__ = ["CALL_SENT_S", "CALL_TRANSIT_S", "GrantCall", "GrantCalls", "ReleaseCall"]
+__all__ = ["CALL_SEND_TIMEOUT_S", "CALL_TRANSIT_S", "GrantCall", "GrantCalls", "ReleaseCall"]
 
 CALL_TRANSIT_S = 0.15
 """Seconds within which a call certainly arrives at a target on the same instance. A written call
 takes under a millisecond, which leaves a large margin for a busy processor."""
-CALL_SENT_S = 0.05
+CALL_SEND_TIMEOUT_S = 0.05
 """Seconds within which a call must be written to the kernel. A daemon that was suspended after it
 computed the end of the hold does not send the call any more."""
 MAX_CONCURRENT_GRANTS = 16
@@ -62,8 +62,8 @@
 class GrantCalls:
     """Calls to the incarnations of one target, one incarnation at a time."""
 
-    def __init__(self, keeper: GrantKeeper) -> None:
-        self._keeper = keeper
+    def __init__(self, grant_manager: GrantManager) -> None:
+        self._grant_manager = grant_manager
         self._grants: set[GrantCall] = set()
         self._releases: set[ReleaseCall] = set()
         self._refused: dict[GrantedRow, float] = {}
@@ -83,14 +83,14 @@
         *attached* states that the process that sent the heartbeats certainly runs: the next process
         under its id would accept a renewal and hold keys under the former one's fence.
         """
-        self._keeper.ledger.expire(now)
+        self._grant_manager.ledger.expire(now)
         calls: list[GrantCall | ReleaseCall] = []
-        for row in list(self._keeper.unwanted(now)):
+        for row in list(self._grant_manager.unwanted(now)):
             if not self._in_flight(row.first, row.last):
                 release = ReleaseCall(row)
                 self._releases.add(release)
                 calls.append(release)
-        hold_s = self._keeper.hold_s(now + CALL_TRANSIT_S)
+        hold_s = self._grant_manager.hold_s(now + CALL_TRANSIT_S)
         if hold_s < MIN_HOLD_S or not attached:
             return calls
         for granted, first_time in self._rows_due(now):
@@ -109,16 +109,16 @@
 
     def _rows_due(self, now: float) -> Iterator[tuple[GrantedRow, bool]]:
         """Yield the rows to grant or renew now, and whether each is new to the target."""
-        ledger = self._keeper.ledger
+        ledger = self._grant_manager.ledger
         held: list[KeyRange] = []
-        for owned in self._keeper.ready_ranges(now):
+        for owned in self._grant_manager.ready_ranges(now):
             if ledger.oldest_sent(owned.first, owned.last, owned.fence, now) is not None:
                 held.append(owned)
                 continue
-            for row in self._keeper.first_rows(owned):
+            for row in self._grant_manager.first_rows(owned):
                 if ledger.oldest_sent(row.first, row.last, row.fence, now) is None:
                     yield row, True
-        renew_s = self._keeper.timing.hold_s * RENEW_AT_SHARE
+        renew_s = self._grant_manager.timing.hold_s * RENEW_AT_SHARE
         for span in _join_adjacent(held):
             sent = ledger.oldest_sent(span.first, span.last, span.fence, now)
             if sent is not None and now - sent >= renew_s:
@@ -131,7 +131,7 @@
             certain_until=now + hold_s, sent=now,
         )  # fmt: skip
         call = GrantCall(row, hold_s, hold, first_time)
-        self._keeper.ledger.add_unconfirmed(hold)
+        self._grant_manager.ledger.add_unconfirmed(hold)
         self._grants.add(call)
         return call
 
@@ -142,10 +142,10 @@
         if call not in self._grants:
             return False
         self._grants.discard(call)
-        self._keeper.ledger.remove_unconfirmed(call.hold)
-        self._keeper.ledger.add(call.hold)
+        self._grant_manager.ledger.remove_unconfirmed(call.hold)
+        self._grant_manager.ledger.add(call.hold)
         if call.first_time:
-            self._keeper.note_granted(call.row.first, call.row.last, call.row.fence)
+            self._grant_manager.note_granted(call.row.first, call.row.last, call.row.fence)
         return True
 
     def refused(self, call: GrantCall, now: float) -> None:
@@ -164,7 +164,7 @@
         """Record a call that was not sent: the target cannot accept it, and it is retried."""
         if call in self._grants:
             self._grants.discard(call)
-            self._keeper.ledger.remove_unconfirmed(call.hold)
+            self._grant_manager.ledger.remove_unconfirmed(call.hold)
 
     def unanswered(self, call: GrantCall) -> None:
         """Record a call without a reply: the grant may still take effect, and is retried."""
@@ -175,7 +175,7 @@
         if call not in self._releases:
             return False
         self._releases.discard(call)
-        self._keeper.let_go(ReleasedRow(call.row.first, call.row.last, token))
+        self._grant_manager.note_released(ReleasedRow(call.row.first, call.row.last, token))
         return True
 
     def release_unanswered(self, call: ReleaseCall) -> None:
--- a/packages/coordination/src/pearward_coordination/grants.py
+++ b/packages/coordination/src/pearward_coordination/grants.py
@@ -23,7 +23,7 @@
 __all__ = [
     "CLOCK_SLACK",
     "HOLD_S",
-    "GrantKeeper",
+    "GrantManager",
     "GrantTiming",
     "GrantedRow",
     "HeldRow",
@@ -88,7 +88,7 @@
     """Handoff token of the former holder; empty if there is none."""
 
 
-class GrantKeeper:
+class GrantManager:
     """Manages the grants to the incarnations of one target, one at a time."""
 
     def __init__(self, service: str, started: float, timing: GrantTiming) -> None:
@@ -104,7 +104,7 @@
         self._released_by: dict[Predecessor, list[ReleasedRow]] = {}
         self._tokens: list[ReleasedRow] = []
         self._granted: set[HeldRow] = set()
-        self._heard = False
+        self._holds_known = False
         self._ended: set[str] = set()
         self._lingering: dict[str, float] = {}
         """Former incarnations that may still run, with the latest end of all their holds."""
@@ -151,7 +151,7 @@
             self._ended.add(self._target)
         self._reset_for(target)
 
-    def target_supposed(self, target: str, now: float) -> None:
+    def target_presumed_replaced(self, target: str, now: float) -> None:
         """Note that heartbeats under the same id seem to come from another incarnation.
 
         The former one possibly still runs and counts as ended only when all its holds have expired.
@@ -164,7 +164,7 @@
         self._ledger.clear()
         self._granted.clear()
         self._tokens.clear()
-        self._heard = False
+        self._holds_known = False
         self._find_owned()
 
     def target_ended(self) -> None:
@@ -180,7 +180,7 @@
         """Return whether an incarnation of the local target has certainly ended."""
         return target in self._ended
 
-    def ended_by(self, now: float) -> list[str]:
+    def take_expired_incarnations(self, now: float) -> list[str]:
         """Return former incarnations that possibly still ran until now and now count as ended."""
         expired = [target for target, until in self._lingering.items() if now >= until]
         for target in expired:
@@ -196,7 +196,7 @@
         self._map = key_map
         self._find_owned()
         granted = [
-            r for r in self._owned if self._has_begun(r) and self._keeps_range(r, former, now)
+            r for r in self._owned if self._is_granted(r) and self._keeps_range(r, former, now)
         ]
         self._granted = {HeldRow(r.first, r.last, r.fence) for r in granted}
         predecessors = {p for r in self._owned for p in r.predecessors}
@@ -222,7 +222,7 @@
     def _find_owned(self) -> None:
         self._owned = self._map.owned_by(self._target) if self._map is not None else ()
 
-    def lease_until(self, until: float) -> None:
+    def set_lease_end(self, until: float) -> None:
         """Set the end of the daemon's own lease, as renewed by its witnesses."""
         self._lease_ends = until
 
@@ -231,39 +231,39 @@
     ) -> None:
         """Record the keys that the target reports as held and as released."""
         for row in released:
-            self.let_go(row)
-        if not self._heard:
+            self.note_released(row)
+        if not self._holds_known:
             # Granted by an earlier process of this daemon, whose grants ended before it did.
-            self._heard = True
+            self._holds_known = True
             until = now + self._timing.hold_s * CLOCK_SLACK
             for row_held in held:
                 self._ledger.add(Hold(row_held.first, row_held.last, row_held.fence, until, now))
                 self.note_granted(row_held.first, row_held.last, row_held.fence)
 
-    def let_go(self, row: ReleasedRow) -> None:
+    def note_released(self, row: ReleasedRow) -> None:
         """Record keys that the target has released."""
         self._tokens.append(row)
         del self._tokens[:-MAX_TOKENS]
         self._ledger.remove_range(row.first, row.last)
 
-    def begun_unknown(self, transit_s: float) -> None:
+    def assume_unknown_grants(self, transit_s: float) -> None:
         """Note that the target runs but does not report its holds.
 
         An earlier process of this daemon may have granted it any keys, by a call that was in
         transit for *transit_s* seconds.
         """
-        if not self._heard:
-            self._heard = True
+        if not self._holds_known:
+            self._holds_known = True
             until = self._started + transit_s + self._timing.hold_s * CLOCK_SLACK
             self._ledger.add_unconfirmed(Hold(0, KEY_SPACE - 1, 0, until, self._started))
 
-    def released(self, predecessor: Predecessor, row: ReleasedRow) -> None:
+    def note_predecessor_released(self, predecessor: Predecessor, row: ReleasedRow) -> None:
         """Record the confirmation of a predecessor's daemon that its target has released keys."""
         rows = self._released_by.setdefault(predecessor, [])
         if row.token or not covered(row.first, row.last, ((r.first, r.last) for r in rows)):
             rows.append(row)
 
-    def _has_begun(self, owned: KeyRange) -> bool:
+    def _is_granted(self, owned: KeyRange) -> bool:
         """Return whether the target was granted all keys of a range under its present fence."""
         if HeldRow(owned.first, owned.last, owned.fence) in self._granted:
             return True
@@ -292,7 +292,7 @@
         for owned in self._owned:
             if not self._ready(owned, now):
                 continue
-            granted = self._has_begun(owned)
+            granted = self._is_granted(owned)
             rows.extend(self._continued(owned) if granted else self.first_rows(owned))
             self._granted.add(HeldRow(owned.first, owned.last, owned.fence))
             effective_from = now if granted else now + GRANT_TRANSIT_S
@@ -344,14 +344,14 @@
 
     def _ready(self, owned: KeyRange, now: float) -> bool:
         """Return whether no other target can hold the range or has held it under a later fence."""
-        if self._has_begun(owned):
+        if self._is_granted(owned):
             return True
         key_map = self._map
         if key_map is None or key_map.unsettled or era_of(owned.fence) < key_map.era:
             return False
-        return all(self._let_go(p, owned, now) for p in owned.predecessors)
+        return all(self._has_released(p, owned, now) for p in owned.predecessors)
 
-    def _let_go(self, predecessor: Predecessor, owned: KeyRange, now: float) -> bool:
+    def _has_released(self, predecessor: Predecessor, owned: KeyRange, now: float) -> bool:
         if predecessor.target == self._target:
             return not self.may_hold(owned.first, owned.last, now, below=owned.fence)
         spans = ((row.first, row.last) for row in self._released_by.get(predecessor, ()))
@@ -380,13 +380,13 @@
             return []
         return [r for r in self._owned if not self._ready(r, now)]
 
-    def ready_to_begin(self, now: float) -> bool:
+    def has_new_grants_ready(self, now: float) -> bool:
         """Return whether a range that the target does not hold yet could be granted now."""
         if self._map is None or not self._target or self._lease_ends <= now:
             return False
-        return any(not self._has_begun(r) and self._ready(r, now) for r in self._owned)
+        return any(not self._is_granted(r) and self._ready(r, now) for r in self._owned)
 
-    def must_let_go(self, now: float) -> bool:
+    def must_release(self, now: float) -> bool:
         """Return whether the target may hold keys that the map no longer assigns to it."""
         return any(True for _ in self.unwanted(now))
 
@@ -402,7 +402,7 @@
                     first, last = max(r.first, hold.first), min(r.last, hold.last)
                     yield HeldRow(first, last, hold.fence)
 
-    def release_of(
+    def released_rows(
         self, target: str, first: int, last: int, fence: int, version: int, now: float
     ) -> list[ReleasedRow] | None:
         """Return proof that *target*, now or formerly local, has permanently released keys.
@@ -415,7 +415,7 @@
         if self._map is None or self._map.version < version or era_of(version) < self._map.era:
             return None
         if target == self._target:
-            if not self._heard or self.may_hold(first, last, now, below=fence + 1):
+            if not self._holds_known or self.may_hold(first, last, now, below=fence + 1):
                 return None
             return self._tokens_between(first, last)
         all_expired = now >= self._started + self._timing.hold_s * CLOCK_SLACK
--- a/packages/coordination/src/pearward_coordination/hold_ledger.py
+++ b/packages/coordination/src/pearward_coordination/hold_ledger.py
@@ -61,13 +61,13 @@
 
     def add(self, hold: Hold) -> None:
         """Replace earlier holds on the same keys; the latest end of any of them is kept."""
-        until = max((h.until for h in self._on(hold.first, hold.last)), default=hold.until)
+        until = max((h.until for h in self._overlapping(hold.first, hold.last)), default=hold.until)
         self.remove_range(hold.first, hold.last)
         insort(self._holds, replace(hold, until=max(until, hold.until)), key=_first)
 
     def remove_range(self, first: int, last: int) -> None:
         """Remove confirmed holds on the keys from *first* to *last*."""
-        touched = self._on(first, last)
+        touched = self._overlapping(first, last)
         if not touched:
             return
         kept: list[Hold] = []
@@ -79,7 +79,7 @@
         at = self._holds.index(touched[0])
         self._holds[at : at + len(touched)] = kept
 
-    def _on(self, first: int, last: int) -> list[Hold]:
+    def _overlapping(self, first: int, last: int) -> list[Hold]:
         """Return the confirmed holds on any key from *first* to *last*, in key order."""
         at = max(0, bisect_right(self._holds, first, key=_first) - 1)
         found: list[Hold] = []
@@ -110,25 +110,29 @@
     def may_hold(self, first: int, last: int, now: float, below: int) -> bool:
         """Return whether any of these keys is possibly held under a fence below *below*."""
         expected = (h for h in self._unconfirmed if h.overlaps(first, last))
-        return any(h.until > now and h.fence < below for h in (*self._on(first, last), *expected))
+        return any(
+            h.until > now and h.fence < below for h in (*self._overlapping(first, last), *expected)
+        )
 
     def fence_at(self, key: int, now: float) -> int:
         """Return the fence under which *key* is certainly held now, or 0."""
-        for hold in self._on(key, key):
+        for hold in self._overlapping(key, key):
             if hold.effective_from <= now < hold.certain_until:
                 return hold.fence
         return 0
 
     def certainly_holds(self, first: int, last: int, fence: int, now: float) -> bool:
         """Return whether all of these keys are certainly held under a fence."""
-        held = (h for h in self._on(first, last) if h.fence == fence and now < h.certain_until)
+        held = (
+            h for h in self._overlapping(first, last) if h.fence == fence and now < h.certain_until
+        )
         return covered(first, last, ((h.first, h.last) for h in held))
 
     def oldest_sent(self, first: int, last: int, fence: int, now: float) -> float | None:
         """Return the send time of the oldest grant on these keys, or None if a key is not held."""
         missing = first
         oldest: float | None = None
-        for hold in self._on(first, last):
+        for hold in self._overlapping(first, last):
             if hold.fence != fence or hold.until <= now:
                 continue
             if hold.first > missing:
--- a/packages/coordination/src/pearward_coordination/incarnations.py
+++ b/packages/coordination/src/pearward_coordination/incarnations.py
@@ -8,9 +8,9 @@
 
 from dataclasses import dataclass
 
-from pearward_state.members import LIFE_MARK, target_id
+from pearward_state.members import ID_SEPARATOR, target_id
 
-__all__ = ["BeatClock", "BeatSign"]
+__all__ = ["HeartbeatIdentity", "IncarnationTracker"]
 
 MAX_INITIAL_SEQUENCE = 6
 """Highest call count of a new incarnation whose earlier calls may have found no daemon yet."""
@@ -24,12 +24,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BeatSign:
+class HeartbeatIdentity:
     """Identity of the sender of a heartbeat."""
 
     target: str
     """Id of the target; two incarnations may share it."""
-    born_ms: int | None
+    started_ms: int | None
     """Unix time in ms at which its process started; None if not reported."""
     sequence: int
     """Call count, which rises with each call of one incarnation."""
@@ -42,7 +42,7 @@
     """The newest incarnation of one id."""
 
     name: str
-    born_ms: int | None
+    started_ms: int | None
     sequence: int
     last_heartbeat: float
     presumed: bool = False
@@ -51,7 +51,7 @@
     restart_at: float = 0.0
 
 
-class BeatClock:
+class IncarnationTracker:
     """Tracks the present incarnation's last heartbeat and detects outdated heartbeats."""
 
     def __init__(self) -> None:
@@ -67,48 +67,52 @@
 
     # -- incarnations of one id ------------------------------------------------
 
-    def former_known(self, names: list[str]) -> None:
+    def set_former_incarnations(self, names: list[str]) -> None:
         """Set the incarnations that earlier processes of this daemon served, the newest last."""
         self._former = tuple(names)
         for target, incarnation in self._newest.items():
-            if incarnation.born_ms is None and incarnation.name == target:
+            if incarnation.started_ms is None and incarnation.name == target:
                 incarnation.name = self._served_last(target)
 
-    def incarnation_of(self, identity: BeatSign, now: float, unix_ms: int) -> str | None:
+    def incarnation_of(self, identity: HeartbeatIdentity, now: float, unix_ms: int) -> str | None:
         """Return the incarnation that sent a heartbeat, or None if the heartbeat is outdated."""
         incarnation = self._newest.get(identity.target)
         if incarnation is None:
-            if identity.born_ms is None:
+            if identity.started_ms is None:
                 return self._track(identity, self._served_last(identity.target), now)
-            return self._track(identity, _incarnation_name(identity.target, identity.born_ms), now)
+            return self._track(
+                identity, _incarnation_name(identity.target, identity.started_ms), now
+            )
         if (
-            identity.born_ms is not None
-            and incarnation.born_ms is not None
-            and identity.born_ms != incarnation.born_ms
+            identity.started_ms is not None
+            and incarnation.started_ms is not None
+            and identity.started_ms != incarnation.started_ms
         ):
-            if identity.born_ms < incarnation.born_ms:
+            if identity.started_ms < incarnation.started_ms:
                 return None
-            return self._track(identity, _incarnation_name(identity.target, identity.born_ms), now)
+            return self._track(
+                identity, _incarnation_name(identity.target, identity.started_ms), now
+            )
         if identity.sequence > incarnation.sequence:
             incarnation.sequence, incarnation.last_heartbeat, incarnation.restart_sequence = (
                 identity.sequence,
                 now,
                 0,
             )
-            incarnation.born_ms = (
-                incarnation.born_ms if identity.born_ms is None else identity.born_ms
+            incarnation.started_ms = (
+                incarnation.started_ms if identity.started_ms is None else identity.started_ms
             )
             return incarnation.name
-        if identity.born_ms is not None and identity.born_ms == incarnation.born_ms:
+        if identity.started_ms is not None and identity.started_ms == incarnation.started_ms:
             return None
         if self._has_restarted(incarnation, identity, now):
             name = _incarnation_name(
-                identity.target, unix_ms if identity.born_ms is None else identity.born_ms
+                identity.target, unix_ms if identity.started_ms is None else identity.started_ms
             )
             return self._track(identity, name, now, presumed=True)
         return None
 
-    def is_supposed(self, target: str) -> bool:
+    def is_presumed(self, target: str) -> bool:
         """Return whether the newest incarnation of an id is only presumed to differ from the last.
 
         In that case the former one possibly still runs.
@@ -121,14 +125,16 @@
         served = [name for name in self._former if target_id(name) == target]
         return served[-1] if served else target
 
-    def _track(self, identity: BeatSign, name: str, now: float, *, presumed: bool = False) -> str:
+    def _track(
+        self, identity: HeartbeatIdentity, name: str, now: float, *, presumed: bool = False
+    ) -> str:
         self._newest[identity.target] = _Incarnation(
-            name, identity.born_ms, identity.sequence, now, presumed
+            name, identity.started_ms, identity.sequence, now, presumed
         )
         return name
 
     @staticmethod
-    def _has_restarted(incarnation: _Incarnation, identity: BeatSign, now: float) -> bool:
+    def _has_restarted(incarnation: _Incarnation, identity: HeartbeatIdentity, now: float) -> bool:
         """Return whether a target has restarted, if one of its incarnations reports no start time.
 
         Two successive heartbeats must have restarted counts, while the known incarnation misses one
@@ -154,12 +160,12 @@
         self._last = now
         self._certain = True
 
-    def doubt(self) -> bool:
+    def note_other_incarnation(self) -> bool:
         """Note that another incarnation answered at the address; return whether this is new."""
         was_certain, self._certain = self._certain, False
         return was_certain
 
-    def is_from_the_past(self, sequence: int, connections: int, now: float) -> bool:
+    def is_stale(self, sequence: int, connections: int, now: float) -> bool:
         """Return whether a heartbeat of another incarnation is from a former target.
 
         A new incarnation restarts its call count. If the count is high while the present one still
@@ -174,4 +180,4 @@
 
 def _incarnation_name(target: str, start_ms: int) -> str:
     """Return the name of a target's incarnation that started at a Unix time in ms."""
-    return f"{target}{LIFE_MARK}{start_ms}"
+    return f"{target}{ID_SEPARATOR}{start_ms}"
--- a/packages/coordination/src/pearward_coordination/key_load.py
+++ b/packages/coordination/src/pearward_coordination/key_load.py
@@ -101,13 +101,13 @@
             weights[key] = weights.get(key, 0.0) + row.count * scale
             self._total += row.count * scale
 
-    def begin_anew(self, recent: "KeyLoadTable", now: float) -> None:
+    def reset_from(self, recent: "KeyLoadTable", now: float) -> None:
         """Replace the history by that of a table with a shorter window, after a sudden change."""
-        seen_s = recent.seen_s(now)
-        self._replace({row.key: row.rate * seen_s for row in recent.rates(now)}, now)
-        self._started_at = now + self._window_s * log(max(0.01, 1.0 - seen_s / self._window_s))
+        observed_s = recent.observed_s(now)
+        self._replace({row.key: row.rate * observed_s for row in recent.rates(now)}, now)
+        self._started_at = now + self._window_s * log(max(0.01, 1.0 - observed_s / self._window_s))
 
-    def seen_s(self, now: float) -> float:
+    def observed_s(self, now: float) -> float:
         """Return the effective observation time of the table in seconds."""
         if self._started_at is None:
             return 0.0
@@ -115,7 +115,7 @@
 
     def rate(self, now: float) -> float:
         """Return the requests per second for all keys together."""
-        return self._total / self._scale(now) / max(self.seen_s(now), MIN_SEEN_S)
+        return self._total / self._scale(now) / max(self.observed_s(now), MIN_SEEN_S)
 
     def rates(self, now: float) -> tuple[KeyRate, ...]:
         """Return the requests per second by key, in key order."""
@@ -125,7 +125,7 @@
                 {key: weight for key, weight in self._weights.items() if weight > least},
                 self._landmark,
             )
-        factor = 1.0 / (self._scale(now) * max(self.seen_s(now), MIN_SEEN_S))
+        factor = 1.0 / (self._scale(now) * max(self.observed_s(now), MIN_SEEN_S))
         weights = self._weights
         return tuple([KeyRate(key, weights[key] * factor) for key in sorted(weights)])
 
--- a/packages/coordination/src/pearward_coordination/keyplan.py
+++ b/packages/coordination/src/pearward_coordination/keyplan.py
@@ -12,7 +12,7 @@
 from pearward_state.keymap import KEY_SPACE, KeyMap, KeyRange
 
 from .key_load import KeyRate
-from .key_pieces import (
+from .key_segments import (
     KeyOwner,
     Segment,
     cut_segments,
@@ -38,7 +38,7 @@
     """Requests per second by key, and the seconds of observation behind them."""
 
     rates: tuple[KeyRate, ...] = ()
-    seen_s: float = 0.0
+    observed_s: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -141,7 +141,7 @@
             rates[segment.owner] += segment.rate
     moved = _place_unowned(segments, by_target, rates, fixed)
     moved = _place_heaviest(segments, by_target, rates, limits) or moved
-    moved = _level_load(segments, by_target, rates, load.seen_s, limits) or moved
+    moved = _level_load(segments, by_target, rates, load.observed_s, limits) or moved
     moved = _give_new_targets(segments, by_target, rates) or moved
     if not moved:
         return None
@@ -154,8 +154,8 @@
     """Return whether some owner's recent load is significantly above its usual load."""
     before = rates_by_owner(key_map, usual.rates)
     for owner, rate in rates_by_owner(key_map, recent.rates).items():
-        excess = (rate - before[owner]) * recent.seen_s
-        certain = excess > limits.surge_significance * float((rate * recent.seen_s) ** 0.5)
+        excess = (rate - before[owner]) * recent.observed_s
+        certain = excess > limits.surge_significance * float((rate * recent.observed_s) ** 0.5)
         if certain and rate > before[owner] * limits.surge:
             return True
     return False
@@ -232,7 +232,7 @@
     segments: list[Segment],
     by_target: Mapping[str, KeyOwner],
     rates: dict[str, float],
-    seen_s: float,
+    observed_s: float,
     limits: PlanLimits,
 ) -> bool:
     """Move segments from the busiest to the least used targets; return whether any moved."""
@@ -245,8 +245,8 @@
         """Return whether a target's excess load is significant and causes queueing."""
         if used(target) <= max(mean + limits.tolerance, limits.idle_utilisation):
             return False
-        excess = (rates[target] - mean * by_target[target].capacity) * seen_s
-        return excess > limits.significance * float((rates[target] * seen_s) ** 0.5)
+        excess = (rates[target] - mean * by_target[target].capacity) * observed_s
+        return excess > limits.significance * float((rates[target] * observed_s) ** 0.5)
 
     donors = {target for target in rates if is_overloaded(target)}
     if not donors:
--- a/packages/coordination/src/pearward_coordination/link_queue.py
+++ b/packages/coordination/src/pearward_coordination/link_queue.py
@@ -57,7 +57,7 @@
     """Whether the target has sent all, so that the end may be passed on as well."""
     deadline: float = math.inf
     """Time in s after which the response is of no use, as its caller may have left."""
-    begun: bool = False
+    started: bool = False
     """Whether a part of it was passed to the kernel."""
 
     @property
@@ -70,7 +70,7 @@
 class LongRequest:
     """A request for a long response that is not accepted yet."""
 
-    runs_s: float
+    running_s: float
     """Expected seconds until the target has its response ready."""
     objective: float
     """Time in s by which the response has its full value."""
@@ -106,7 +106,7 @@
 
     # -- changes ------------------------------------------------------------------
 
-    def handed_over(self, size: int, now: float) -> None:
+    def note_sent(self, size: int, now: float) -> None:
         """Record that *size* bytes of any kind were passed to a connection."""
         self._load.sent(size, now)
 
@@ -156,24 +156,24 @@
         waiting = sum(ticket.remaining for ticket in self._tickets)
         return self._load.backlog_s(now) + waiting / self._load.bytes_per_s
 
-    def too_late_s(self, request: LongRequest, under_way: int, now: float) -> float:
+    def lateness_s(self, request: LongRequest, under_way: int, now: float) -> float:
         """Return by how many seconds a long response would be late; 0 or less means in time.
 
         *under_way* long requests still run at the target and come before it. The last target that
         is asked accepts the request as long as its caller would still receive the response.
         """
-        ready = now + request.runs_s
+        ready = now + request.running_s
         late = sum(t.remaining for t in self._tickets if self._is_late(t, now))
         in_time = sum(t.remaining for t in self._tickets) - late
         to_come = (under_way + 1) * self._mean_size
         sent_s = self._load.backlog_s(now) + (in_time + to_come) / self._load.bytes_per_s
-        too_late_s = ready + sent_s - request.objective
-        if too_late_s > 0.0 and request.last_target:
+        lateness_s = ready + sent_s - request.objective
+        if lateness_s > 0.0 and request.last_target:
             sent_s = (late + self._mean_size) * LATE_SLOT_INTERVAL / self._load.bytes_per_s
-            too_late_s = ready + sent_s - min(request.deadline, ready + MAX_LATE_WAIT_S)
-        return too_late_s
+            lateness_s = ready + sent_s - min(request.deadline, ready + MAX_LATE_WAIT_S)
+        return lateness_s
 
-    def long_wait_s(self, now: float) -> float:
+    def long_response_wait_s(self, now: float) -> float:
         """Return the expected seconds that a long response needs on the link.
 
         The mean wait counts as well, since requesters that receive this value send somewhat later.
@@ -186,10 +186,10 @@
 
         One that has passed its deadline, or can no longer meet it, is left out.
         """
-        begun = sorted((t for t in sendable if t.begun), key=lambda t: t.deadline)
+        started = sorted((t for t in sendable if t.started), key=lambda t: t.deadline)
         first: LinkTicket | None = None
         needs_s = 0.0
-        for ticket in begun:
+        for ticket in started:
             left_s = ticket.deadline - now
             if ticket.remaining / self._load.bytes_per_s > left_s:
                 continue
--- a/packages/coordination/src/pearward_coordination/load_watch.py
+++ b/packages/coordination/src/pearward_coordination/load_watch.py
@@ -14,7 +14,7 @@
 
 __all__ = ["LoadWatch"]
 
-LOOK_INTERVAL_S = 0.4
+CHECK_INTERVAL_S = 0.4
 """Seconds between two evaluations of the whole load; each owner reports once in this time."""
 MOVE_PAUSE_S = 1.5
 """Seconds between two plans that only level load; moved keys are unavailable for half a second."""
@@ -48,24 +48,24 @@
 
     def is_due(self, now: float) -> bool:
         """Return whether new reports may have arrived since the last evaluation."""
-        return now - self._checked_at >= LOOK_INTERVAL_S
+        return now - self._checked_at >= CHECK_INTERVAL_S
 
     def may_move(self, now: float) -> bool:
         """Return whether keys may move again to level the load."""
-        learning = now - self._surged_at < LEARNED_S or self._usual.seen_s(now) < LEARNED_S
+        learning = now - self._surged_at < LEARNED_S or self._usual.observed_s(now) < LEARNED_S
         return now - self._moved_at >= (LEARNING_PAUSE_S if learning else MOVE_PAUSE_S)
 
     def moved(self, now: float) -> None:
         """Record that keys have moved."""
         self._moved_at = now
 
-    def look(self, key_map: KeyMap, now: float) -> tuple[PlannedLoad, bool]:
+    def check(self, key_map: KeyMap, now: float) -> tuple[PlannedLoad, bool]:
         """Return the load to plan with, and whether it has just changed suddenly."""
         self._checked_at = now
-        usual = PlannedLoad(self._usual.rates(now), self._usual.seen_s(now))
-        recent = PlannedLoad(self._recent.rates(now), self._recent.seen_s(now))
+        usual = PlannedLoad(self._usual.rates(now), self._usual.observed_s(now))
+        recent = PlannedLoad(self._recent.rates(now), self._recent.observed_s(now))
         if not has_surged(key_map, recent, usual, self._limits):
             return usual, False
         self._surged_at = now
-        self._usual.begin_anew(self._recent, now)
-        return PlannedLoad(self._usual.rates(now), self._usual.seen_s(now)), True
+        self._usual.reset_from(self._recent, now)
+        return PlannedLoad(self._usual.rates(now), self._usual.observed_s(now)), True
--- a/packages/coordination/src/pearward_coordination/overload/key_gap.py
+++ b/packages/coordination/src/pearward_coordination/overload/handover_wait.py
@@ -10,7 +10,7 @@
 clock.
 """
 
-__all__ = ["KeyGap"]
+__all__ = ["HandoverWait"]
 
 INITIAL_MEAN_S = 0.5
 """Seconds for which a key is expected to be unavailable before any handover was observed."""
@@ -25,7 +25,7 @@
 certainly."""
 
 
-class KeyGap:
+class HandoverWait:
     """Durations of the handovers of keys to one target."""
 
     def __init__(self) -> None:
@@ -37,12 +37,12 @@
         """Mean seconds for which keys are unavailable."""
         return self._mean_s
 
-    def begun(self, now: float) -> None:
+    def start(self, now: float) -> None:
         """Start a handover, unless one is in progress."""
         if self._since is None:
             self._since = now
 
-    def ended(self, now: float) -> float | None:
+    def finish(self, now: float) -> float | None:
         """End the handover; return its duration in seconds, or None if there was none."""
         if self._since is None:
             return None
@@ -58,10 +58,10 @@
         overdue_s = max(MIN_REMAINING_S, self._mean_s * OVERDUE_SHARE)
         return max(overdue_s, self._mean_s - (now - self._since))
 
-    def patience_s(self, deadline_left_s: float, runs_s: float, now: float) -> float:
+    def max_wait_s(self, deadline_left_s: float, running_s: float, now: float) -> float:
         """Return the maximum wait of a request for its key in seconds; 0 if waiting is useless.
 
-        *deadline_left_s* is the time until its deadline, *runs_s* its expected running time.
+        *deadline_left_s* is the time until its deadline, *running_s* its expected running time.
         """
-        most_s = deadline_left_s - runs_s * RUN_MARGIN
+        most_s = deadline_left_s - running_s * RUN_MARGIN
         return most_s if self.left_s(now) <= most_s else 0.0
--- a/packages/coordination/src/pearward_coordination/overload/key_shedding.py
+++ b/packages/coordination/src/pearward_coordination/overload/key_shedding.py
@@ -20,11 +20,11 @@
 if TYPE_CHECKING:
     from random import Random
 
-__all__ = ["BACK_AFTER_S", "KeyShedding"]
+__all__ = ["RETRY_DELAY_S", "KeyShedding"]
 
 HALF_LIFE_S = 1.5
 """Half-life in seconds of recorded outcomes; hot keys last for some seconds."""
-BACK_AFTER_S = HALF_LIFE_S
+RETRY_DELAY_S = HALF_LIFE_S
 """Seconds after which a caller refused here may retry; earlier, as many would be refused again,
 since the recorded outcomes have not changed."""
 SENT_PER_SERVED = 1.5
@@ -35,7 +35,7 @@
 two seconds, a rate that a whole fleet has to be able to send."""
 MIN_WEIGHT = 0.2
 """Weight of all requests for a key below which its record is dropped."""
-KEPT = 256
+MAX_KEYS = 256
 """Maximum number of keys on record; few are hot at one time."""
 
 
@@ -63,7 +63,7 @@
         self._seen: dict[tuple[str, int], _KeyHistory] = {}
 
     def sheds(self, service: str, key: int, now: float) -> bool:
-        """Return whether to refuse a request here; its caller may retry after BACK_AFTER_S."""
+        """Return whether to refuse a request here; its caller may retry after RETRY_DELAY_S."""
         history = self._seen.get((service, key))
         if history is None:
             return False
@@ -80,7 +80,7 @@
         """Record that the owner had no free capacity or did not answer in time."""
         if (service, key) in self._seen:
             return
-        if len(self._seen) >= KEPT:
+        if len(self._seen) >= MAX_KEYS:
             self._drop_oldest()
         self._seen[service, key] = _KeyHistory(1.0, 0.0, now)
 
--- a/packages/coordination/src/pearward_coordination/overload/policy.py
+++ b/packages/coordination/src/pearward_coordination/overload/policy.py
@@ -9,13 +9,13 @@
 class Mechanism(StrEnum):
     """A mechanism that can be switched off separately, to measure its effect."""
 
-    RETURNS_IN_TIME = "returns-in-time"
+    RETRY_WITHIN_OBJECTIVE = "returns-in-time"
     """Refused callers retry soon enough to meet the latency objective."""
     BURST_WAIT = "burst-patience"
     """Requests may wait longer in a queue that has formed only recently."""
-    AGED_RETURNS = "aged-returns"
+    AGED_RETRIES = "aged-returns"
     """A retried request's objective runs from its caller's first try."""
-    FEW_LOOKS = "few-looks"
+    FEW_SAMPLES = "few-looks"
     """A target is chosen as the best of a small random sample."""
     SHED_KEYS = "shed-keys"
     """The ingress daemon refuses part of the requests for a key whose owner refuses them."""
--- a/packages/coordination/src/pearward_coordination/overload/returns.py
+++ b/packages/coordination/src/pearward_coordination/overload/retry_delay.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass
 
-__all__ = ["TurnedAway", "UsualDeadline", "back_after_s", "usual_back_after_s"]
+__all__ = ["RefusedRequest", "RetryAgeEstimator", "default_retry_delay_s", "retry_delay_s"]
 
 MIN_DELAY_S = 0.04
 """Minimum useful delay in seconds; an earlier retry would meet the same full queue. Observed
@@ -40,38 +40,38 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TurnedAway:
+class RefusedRequest:
     """Properties of a request without a slot that determine its retry delay."""
 
     objective_left_s: float
     """Seconds until the response loses value."""
-    patience_s: float
+    max_wait_s: float
     """Maximum wait in seconds for a slot after the retry."""
-    runs_s: float
+    running_s: float
     """Running time of a request in seconds."""
-    room_in_s: float
+    capacity_in_s: float
     """Seconds until a slot is expected to be free for it."""
 
 
-def back_after_s(request: TurnedAway) -> float:
+def retry_delay_s(request: RefusedRequest) -> float:
     """Return the seconds after which the caller should retry.
 
     The delay leaves time for a full wait within the objective; if this is no longer possible, it is
     the time until capacity is expected.
     """
-    spare_s = request.objective_left_s - request.patience_s - request.runs_s
+    spare_s = request.objective_left_s - request.max_wait_s - request.running_s
     in_time_s = spare_s * IN_TIME_SHARE
     if in_time_s >= MIN_DELAY_S:
         return in_time_s
-    return usual_back_after_s(request.room_in_s)
+    return default_retry_delay_s(request.capacity_in_s)
 
 
-def usual_back_after_s(room_in_s: float) -> float:
+def default_retry_delay_s(capacity_in_s: float) -> float:
     """Return the retry delay based only on the time until capacity is expected."""
-    return min(MAX_DELAY_S, max(DEFAULT_DELAY_S, room_in_s))
+    return min(MAX_DELAY_S, max(DEFAULT_DELAY_S, capacity_in_s))
 
 
-class UsualDeadline:
+class RetryAgeEstimator:
     """Estimates the age of retried requests from the time that callers of one route allow.
 
     A caller that retries allows only its remaining time, so the difference to the usual time is the
--- a/packages/coordination/src/pearward_coordination/overload/waiting.py
+++ b/packages/coordination/src/pearward_coordination/overload/waiting.py
@@ -10,7 +10,7 @@
 
 from dataclasses import dataclass
 
-__all__ = ["QueueAge", "WaitingRequest", "patience_s"]
+__all__ = ["QueueAge", "WaitingRequest", "max_wait_s"]
 
 BURST_SLOTS = 6.0
 """Number of slots that a target may free while a queue is never empty before the queue counts as
@@ -34,16 +34,16 @@
 
     objective_s: float
     """Seconds from its arrival to its latency objective."""
-    runs_s: float
+    running_s: float
     """Running time in seconds of requests on its route."""
 
 
-def patience_s(waiting_request: WaitingRequest, *, standing: bool) -> float:
+def max_wait_s(waiting_request: WaitingRequest, *, standing: bool) -> float:
     """Return the maximum wait of a request for a slot in seconds."""
     short_s = max(0.0, waiting_request.objective_s * STANDING_SHARE)
     if standing:
         return short_s
-    in_time_s = waiting_request.objective_s - waiting_request.runs_s * RUN_MARGIN
+    in_time_s = waiting_request.objective_s - waiting_request.running_s * RUN_MARGIN
     return max(short_s, min(in_time_s, waiting_request.objective_s * MAX_WAIT_SHARE))
 
 
--- a/packages/coordination/src/pearward_coordination/ownership.py
+++ b/packages/coordination/src/pearward_coordination/ownership.py
@@ -234,7 +234,7 @@
         if self._running.pop(run, None) is not None and self._released < self.adopted:
             self._update_released()
 
-    def still_good(self, permit: Permit, now: float) -> bool:
+    def is_permit_valid(self, permit: Permit, now: float) -> bool:
         """Return whether *permit* is still valid at *now*.
 
         A pooled request needs no exclusive owner, so the lease matters at its admission only.
@@ -243,7 +243,9 @@
 
     def lapsed_runs(self, now: float) -> list[int]:
         """Return the numbers of the running requests whose permits are no longer valid."""
-        return [run for run, permit in self._running.items() if not self.still_good(permit, now)]
+        return [
+            run for run, permit in self._running.items() if not self.is_permit_valid(permit, now)
+        ]
 
     def _has_lost_shard(self, permit: Permit) -> bool:
         """Return whether this daemon no longer owns *permit*'s shard at its epoch."""
--- a/packages/coordination/src/pearward_coordination/quarantine.py
+++ b/packages/coordination/src/pearward_coordination/quarantine.py
@@ -24,9 +24,9 @@
 
 from pearward_state.crashes import CrashRecord
 
-__all__ = ["LONGEST_S", "REFUSED_AFTER", "Quarantine", "QuarantineRule", "Standing"]
+__all__ = ["MAX_QUARANTINE_S", "REFUSED_AFTER", "Quarantine", "QuarantineRule", "Standing"]
 
-LONGEST_S = 600.0
+MAX_QUARANTINE_S = 600.0
 """Maximum quarantine in seconds: the store keeps an entry under one lease for ten minutes."""
 REFUSED_AFTER = 3
 """Crashes under a request after which no target gets it. Two may be chance when many targets crash
@@ -52,7 +52,7 @@
 
     refused_after: int = REFUSED_AFTER
     """Crashes under a request after which it is refused; 0 never refuses any."""
-    lasts_s: float = LONGEST_S
+    lasts_s: float = MAX_QUARANTINE_S
     """Seconds since the last crash for which it is refused."""
 
 
@@ -79,7 +79,7 @@
     def __len__(self) -> int:
         return len(self._suspects)
 
-    def learn(self, record: CrashRecord, now: float, unix_now: float) -> tuple[str, ...]:
+    def note_crash(self, record: CrashRecord, now: float, unix_now: float) -> tuple[str, ...]:
         """Record a crash; return the contents that are refused from now on because of it.
 
         A known crash changes nothing. *now* is the time of the steady clock in s, *unix_now* the
--- a/packages/coordination/src/pearward_coordination/retry.py
+++ b/packages/coordination/src/pearward_coordination/retry.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from random import Random
 
-__all__ = ["Attempt", "AttemptTally", "RetryBudget", "RetryDecision", "decide_retry"]
+__all__ = ["Attempt", "AttemptHistory", "RetryBudget", "RetryDecision", "decide_retry"]
 
 MAX_ATTEMPTS = 64
 """Maximum number of attempts of one request; usually the deadline ends it first."""
@@ -34,7 +34,7 @@
         Reason.DUPLICATE,
         Reason.TOO_LARGE,
         Reason.BODY_CUT,
-        Reason.NOT_SEEN_BEFORE_GRANT,
+        Reason.FIRST_SEEN_BEFORE_GRANT,
     }
 )
 
@@ -75,7 +75,7 @@
     reason: Reason
     number: int
     """Number of attempts so far, including this one."""
-    moves: int
+    redirects: int
     """Number of these attempts that ended in a redirect by a newer record."""
     repeatable: bool
     replayable: bool
@@ -93,7 +93,7 @@
     delay_s: float = 0.0
 
 
-class AttemptTally:
+class AttemptHistory:
     """Counts and combined outcome of a request's attempts."""
 
     def __init__(self) -> None:
@@ -107,7 +107,7 @@
         return self._number
 
     @property
-    def moves(self) -> int:
+    def redirects(self) -> int:
         """Number of attempts that were redirected by a newer record."""
         return self._redirects
 
@@ -145,7 +145,7 @@
         return _retry_with_backoff(attempt.number, time_left_s, rng)
     if attempt.outcome is not Outcome.NOT_RUN:
         return _NO_RETRY
-    if attempt.reason is Reason.MOVED and attempt.moves <= MAX_REDIRECTS:
+    if attempt.reason is Reason.MOVED and attempt.redirects <= MAX_REDIRECTS:
         return RetryDecision(True)
     if attempt.reason in _BACKOFF_REASONS or attempt.reason in (Reason.MOVED, Reason.FENCED):
         return _retry_with_backoff(attempt.number, time_left_s, rng)
--- a/packages/coordination/src/pearward_coordination/memory.py
+++ b/packages/coordination/src/pearward_coordination/seen_requests.py
@@ -3,7 +3,7 @@
 from collections import OrderedDict
 from dataclasses import dataclass
 
-__all__ = ["RequestMemory", "SeenRequest", "scoped_id"]
+__all__ = ["SeenRequest", "SeenRequests", "scoped_id"]
 
 
 @dataclass(slots=True)
@@ -15,7 +15,7 @@
     """HTTP status of the server's response; 0 before there is one."""
 
 
-class RequestMemory:
+class SeenRequests:
     """Set of request ids, kept for a limited time to detect duplicates.
 
     An owner uses it so that it passes no id to its server twice, an ingress for the time at which
@@ -47,7 +47,7 @@
         """Remove an id whose request certainly did not reach the server."""
         self._seen.pop(request_id, None)
 
-    def has_room(self, now: float) -> bool:
+    def has_capacity(self, now: float) -> bool:
         """Return whether another id can be kept for its full time."""
         self._expire(now)
         return len(self._seen) < self._limit
--- a/packages/coordination/src/pearward_coordination/selection.py
+++ b/packages/coordination/src/pearward_coordination/selection.py
@@ -16,15 +16,15 @@
     from pearward_state.routes import WeightedService
 
 __all__ = [
-    "FAR_LOOKS",
-    "NEAR_LOOKS",
+    "FAR_SAMPLES",
+    "NEAR_SAMPLES",
     "Candidate",
-    "Exchange",
-    "IdleOdds",
+    "ExchangeProfile",
+    "FreeSlotOdds",
     "LoadView",
-    "MeanService",
+    "MeanRunningTime",
     "TargetLoad",
-    "WeightedTurns",
+    "WeightedRoundRobin",
     "choose_target",
     "draw",
 ]
@@ -49,7 +49,7 @@
 """Expected running time in seconds if the load of no target is known."""
 DEFAULT_SLOTS = 12
 """Assumed slots of a target with unknown load; known targets have 6 to 12."""
-NEAR_LOOKS, FAR_LOOKS = 2, 2
+NEAR_SAMPLES, FAR_SAMPLES = 2, 2
 """Number of targets compared per request, in the own failure domain and elsewhere.
 
 A requester receives reports from one of 75 targets every 20 s, and a queue length is outdated after
@@ -122,7 +122,7 @@
         return max(0.0, faded + self.in_flight - self.in_flight_at_report, float(self.in_flight))
 
 
-class MeanService:
+class MeanRunningTime:
     """Mean running time of one service's requests, as reported by its targets."""
 
     def __init__(self) -> None:
@@ -137,12 +137,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Exchange:
+class ExchangeProfile:
     """Properties of a request and its expected response, known before a target is chosen."""
 
     kilobytes: float = 0.0
     """Usual size of the two together."""
-    long_answer: bool = False
+    long_response: bool = False
     """Whether the delay on the link of the target's instance counts as well."""
 
 
@@ -159,7 +159,7 @@
     """Whether it is on the requester's instance, so that no link is used."""
 
 
-def cross_domain_cost_s(profile: Exchange) -> float:
+def cross_domain_cost_s(profile: ExchangeProfile) -> float:
     """Return the expected latency in seconds that is accepted to stay in the own failure domain."""
     return min(MAX_CROSS_DOMAIN_S, CROSS_DOMAIN_S + profile.kilobytes * CROSS_DOMAIN_S_PER_KB)
 
@@ -180,14 +180,14 @@
 
 
 def expected_latency(
-    candidate: Candidate, now: float, profile: Exchange, far_s: float, usual_s: float
+    candidate: Candidate, now: float, profile: ExchangeProfile, far_s: float, mean_run_s: float
 ) -> float:
     """Return the expected latency in seconds of a request sent now, including penalties.
 
-    *usual_s* is the running time assumed for targets without a report.
+    *mean_run_s* is the running time assumed for targets without a report.
     """
     view = candidate.view
-    load = view.load or TargetLoad(0, 0, DEFAULT_SLOTS, usual_s)
+    load = view.load or TargetLoad(0, 0, DEFAULT_SLOTS, mean_run_s)
     slots = max(1, load.slots)
     busy = view.busy(now) + 1.0
     crowding = max(0.0, busy / slots - CROWDED_SHARE)
@@ -195,7 +195,7 @@
     service_s = load.service_s * (1.6 if candidate.cold else 1.0)
     latency = service_s * (1.0 + crowding + queue)
     latency += view.recent_failures(now) * FAILURE_PENALTY_S
-    if profile.long_answer and not candidate.local:
+    if profile.long_response and not candidate.local:
         latency += load.link_s
     return latency if candidate.near else latency + far_s
 
@@ -204,8 +204,8 @@
     candidates: Iterable[Candidate],
     now: float,
     rng: Random,
-    profile: Exchange | None = None,
-    usual_s: float = DEFAULT_SERVICE_S,
+    profile: ExchangeProfile | None = None,
+    mean_run_s: float = DEFAULT_SERVICE_S,
 ) -> Candidate | None:
     """Return the candidate with the least expected latency; near ties are broken at random.
 
@@ -213,17 +213,17 @@
     """
     best: Candidate | None = None
     best_cost = 0.0
-    profile = profile or Exchange()
+    profile = profile or ExchangeProfile()
     far_s = cross_domain_cost_s(profile)
     for candidate in candidates:
-        cost = expected_latency(candidate, now, profile, far_s, usual_s)
+        cost = expected_latency(candidate, now, profile, far_s, mean_run_s)
         cost *= 0.9 + 0.2 * rng.random()
         if best is None or cost < best_cost:
             best, best_cost = candidate, cost
     return best
 
 
-class IdleOdds:
+class FreeSlotOdds:
     """Estimate of how often probed targets of a service have a free slot.
 
     If few of them do, probing first costs two daemons half a millisecond of processor time per
@@ -235,19 +235,19 @@
         self._odds = 1.0
         self._skipped = 0
 
-    def worth_asking(self) -> bool:
+    def should_probe(self) -> bool:
         """Return whether the next request should probe for a free slot first."""
         if self._odds >= MIN_ODDS:
             return True
         self._skipped = (self._skipped + 1) % PROBE_INTERVAL
         return self._skipped == 0
 
-    def asked(self, *, found: bool) -> None:
+    def note_probe(self, *, found: bool) -> None:
         """Record whether a probed target had a free slot."""
         self._odds += ODDS_WEIGHT * (found - self._odds)
 
 
-class WeightedTurns:
+class WeightedRoundRobin:
     """Weighted round robin that shares one route's requests exactly by the services' weights."""
 
     def __init__(self, parts: Sequence[WeightedService], rng: Random) -> None:
--- a/packages/coordination/src/pearward_coordination/service_lookups.py
+++ b/packages/coordination/src/pearward_coordination/service_lookups.py
@@ -8,7 +8,7 @@
 from collections import OrderedDict
 from enum import Enum
 
-__all__ = ["Found", "ServiceLookups"]
+__all__ = ["LookupResult", "ServiceLookups"]
 
 ABSENT_TTL_S = 1.0
 """Time in s for which the absence of a service in the store is cached: an accepted change has to be
@@ -22,13 +22,13 @@
 """Maximum burst of lookups: a daemon that has just started has no services."""
 
 
-class Found(Enum):
+class LookupResult(Enum):
     """Result of the lookup of a service."""
 
     THERE = "there"
     ABSENT = "absent"
     """The store has no rows of the service, so that the name is wrong."""
-    UNTOLD = "untold"
+    UNDETERMINED = "untold"
     """The store could not be queried, so that the service may exist."""
 
 
@@ -55,7 +55,7 @@
         self._tokens -= 1.0
         return True
 
-    def said_absent(self, service: str, now: float) -> None:
+    def note_absent(self, service: str, now: float) -> None:
         """Cache that the store has no such service."""
         self._absent.pop(service, None)
         self._absent[service] = now
--- a/packages/coordination/src/pearward_coordination/slots.py
+++ b/packages/coordination/src/pearward_coordination/slots.py
@@ -12,8 +12,8 @@
 from dataclasses import dataclass, field
 
 from .overload.policy import Mechanism, OverloadPolicy
-from .overload.returns import TurnedAway, back_after_s, usual_back_after_s
-from .overload.waiting import QueueAge, WaitingRequest, patience_s
+from .overload.retry_delay import RefusedRequest, default_retry_delay_s, retry_delay_s
+from .overload.waiting import QueueAge, WaitingRequest, max_wait_s
 
 __all__ = ["Refused", "SlotLimits", "SlotQueue", "SlotTicket"]
 
@@ -147,7 +147,7 @@
             self._start(ticket, now)
             return True
         wait_s = self.expected_wait(ticket, now)
-        too_long = wait_s > self.patience_s(ticket, now) or now + wait_s > ticket.deadline
+        too_long = wait_s > self.max_wait_s(ticket, now) or now + wait_s > ticket.deadline
         passed_over = ticket.idle_only and self._ahead(ticket) > 0
         if passed_over or too_long or self._waiting >= self._limits.queue:
             return Refused(self.retry_after(ticket, wait_s, now))
@@ -226,17 +226,17 @@
             started.append(ticket)
         return started, late
 
-    def patience_s(self, ticket: SlotTicket, now: float) -> float:
+    def max_wait_s(self, ticket: SlotTicket, now: float) -> float:
         """Return the maximum wait for a slot in seconds."""
         policy = self._limits.policy
         slot_s = self.service_s(now) / max(1, self._limits.slots)
         standing = not policy.uses(Mechanism.BURST_WAIT) or self._age.standing(
             ticket.rank, now, slot_s
         )
-        waiting_request = WaitingRequest(ticket.objective - ticket.arrived, self.runs_s(ticket))
-        return patience_s(waiting_request, standing=standing)
+        waiting_request = WaitingRequest(ticket.objective - ticket.arrived, self.running_s(ticket))
+        return max_wait_s(waiting_request, standing=standing)
 
-    def runs_s(self, ticket: SlotTicket) -> float:
+    def running_s(self, ticket: SlotTicket) -> float:
         """Return the mean running time in seconds of requests on the same route."""
         mean = self._by_route.get(ticket.route)
         return (mean or self._mean).seconds
@@ -261,14 +261,14 @@
 
     def retry_after(self, ticket: SlotTicket, wait_s: float, now: float) -> float:
         """Return the seconds after which a request that is refused now should be retried."""
-        if not self._limits.policy.uses(Mechanism.RETURNS_IN_TIME):
-            return usual_back_after_s(wait_s)
-        return back_after_s(
-            TurnedAway(
+        if not self._limits.policy.uses(Mechanism.RETRY_WITHIN_OBJECTIVE):
+            return default_retry_delay_s(wait_s)
+        return retry_delay_s(
+            RefusedRequest(
                 objective_left_s=ticket.objective - now,
-                patience_s=self.patience_s(ticket, now),
-                runs_s=self.runs_s(ticket),
-                room_in_s=wait_s,
+                max_wait_s=self.max_wait_s(ticket, now),
+                running_s=self.running_s(ticket),
+                capacity_in_s=wait_s,
             )
         )
 
--- a/packages/coordination/src/pearward_coordination/target_witness.py
+++ b/packages/coordination/src/pearward_coordination/target_witness.py
@@ -16,7 +16,7 @@
 No I/O and no clock.
 """
 
-from pearward_state.eras import era_of, first_of
+from pearward_state.eras import era_of, era_start
 
 from .lease import LeaseTiming
 from .messages import AskRelease, ReleaseReply, Renew, RenewReply
@@ -42,7 +42,7 @@
     def map_read(self, era: int) -> None:
         """Note the first read of the key map since the start, in an era of the store."""
         self._may_renew = True
-        self._renews_from = first_of(era)
+        self._renews_from = era_start(era)
 
     def on_renew(self, ask: Renew, known: int, now: float) -> RenewReply:
         """Decide on a renewal; *known* is the version of the map in use on this instance."""
--- a/packages/coordination/src/pearward_coordination/watchers.py
+++ b/packages/coordination/src/pearward_coordination/watchers.py
@@ -76,12 +76,12 @@
         return self._chosen
 
     @property
-    def has_own(self) -> bool:
+    def reads_store(self) -> bool:
         """Whether this daemon is a watcher, or there is no other member to query."""
         chosen = self.chosen
         return not chosen or any(member.instance == self._instance for member in chosen)
 
-    def to_ask(self, now: float) -> list[Member]:
+    def query_order(self, now: float) -> list[Member]:
         """Return the watchers in query order, without those that recently did not reply."""
         others = [m for m in self.chosen if m.instance != self._instance]
         usable = [m for m in others if self._silent.get(m.instance, 0.0) <= now]
@@ -92,7 +92,7 @@
         rotated = usable[start:] + usable[:start]
         return sorted(rotated, key=lambda m: m.failure_domain != self._failure_domain)
 
-    def silent(self, instance: str, now: float) -> None:
+    def note_silent(self, instance: str, now: float) -> None:
         """Record that a watcher did not reply, or is itself cut off from the store."""
         self._silent[instance] = now + SILENT_PAUSE_S
 
--- a/packages/coordination/src/pearward_coordination/witness.py
+++ b/packages/coordination/src/pearward_coordination/witness.py
@@ -26,7 +26,7 @@
     """Witness's state of one owner."""
 
     granted_until: float = NEVER
-    last_heard: float = NEVER
+    last_renewal_at: float = NEVER
     owner_released: int = 0
     """Highest version whose taken shards the owner has reported as given up."""
     released_version: int = 0
@@ -66,7 +66,7 @@
         granted = self._may_grant(owner, request, record, table_version)
         watched = self._watched.get(owner)
         if watched is not None:
-            watched.last_heard = now
+            watched.last_renewal_at = now
             watched.owner_released = max(watched.owner_released, request.released)
             if granted:
                 watched.granted_until = now + self._timing.lease_s
@@ -112,5 +112,5 @@
             name
             for name, watched in self._watched.items()
             if name in record.by_incarnation
-            and max(watched.last_heard, self._watched_since[name]) <= limit
+            and max(watched.last_renewal_at, self._watched_since[name]) <= limit
         )
--- a/packages/daemon/src/pearward_daemon/caller_request.py
+++ b/packages/daemon/src/pearward_daemon/caller_request.py
@@ -9,10 +9,10 @@
 import eliot
 from twisted.python.failure import Failure
 
-from pearward_coordination.memory import scoped_id
-from pearward_coordination.retry import Attempt, AttemptTally, decide_retry
+from pearward_coordination.retry import Attempt, AttemptHistory, decide_retry
 from pearward_coordination.routing import NoRoute, Route, UnknownService
-from pearward_coordination.service_lookups import Found
+from pearward_coordination.seen_requests import scoped_id
+from pearward_coordination.service_lookups import LookupResult
 from pearward_protocol.errors import BadHeader
 from pearward_protocol.heads import RequestHead, ResponseHead
 from pearward_protocol.httpmap import (
@@ -22,7 +22,7 @@
     read_context,
     status_for,
 )
-from pearward_protocol.streams import SHORT_BODY
+from pearward_protocol.streams import MAX_INLINE_BODY
 from pearward_state.outcome import Outcome, Reason, RequestClass
 from pearward_state.records import CellRecord, Member, MemberState
 from pearward_state.table import Kind, ServiceTable
@@ -72,7 +72,7 @@
         """Whether chunks go straight on and are no longer kept."""
         self._attempt: AttemptStream | None = None
         self._target = ""
-        self._tally = AttemptTally()
+        self._tally = AttemptHistory()
         self._avoid: set[str] = set()
         self._refusal: tuple[Reason, str, int] | None = None
         """What to answer once the body has come."""
@@ -119,7 +119,7 @@
         found = self._ingress.control.finder.find(context.service)
         found.addCallback(self._service_found, context)
 
-    def _service_found(self, found: Found, context: RequestContext) -> None:
+    def _service_found(self, found: LookupResult, context: RequestContext) -> None:
         """Go on with a service that is there; a name is wrong only by the store's own word."""
         self._finding_service = False
         if self._done:
@@ -127,14 +127,14 @@
         if self._body_size > self._ingress.limits.replay_bytes:
             self._request.resume_body()
         service = context.service
-        if found is Found.ABSENT:
+        if found is LookupResult.ABSENT:
             detail = f"there is no service {service!r}"
             self._refuse(Reason.UNKNOWN_SERVICE, detail, NOT_FOUND)
             return
         try:
             table = self._ingress.router.row(service)
         except UnknownService as error:
-            if found is Found.THERE:
+            if found is LookupResult.THERE:
                 self._refuse(Reason.UNKNOWN_SERVICE, str(error), NOT_FOUND)
             else:
                 detail = f"service {service!r} is not known here, and the store was not asked"
@@ -243,7 +243,7 @@
         if known is not None:
             age_ms = max(1, int((self._begun_at - known.first_seen) * MS_PER_S))
             self._prior_age_ms = max(self._prior_age_ms, age_ms)
-        elif memory.has_room(self._begun_at):
+        elif memory.has_capacity(self._begun_at):
             memory.remember(scoped, self._begun_at)
 
     def _start_timer(self, context: RequestContext) -> None:
@@ -315,7 +315,7 @@
 
     def _short_body(self) -> bytes | None:
         """Return the body if it is whole and travels with the head."""
-        if not self._body_ended or self._body_size > SHORT_BODY:
+        if not self._body_ended or self._body_size > MAX_INLINE_BODY:
             return None
         return b"".join(self._body)
 
@@ -461,7 +461,7 @@
             outcome=outcome,
             reason=reason,
             number=self._tally.number,
-            moves=self._tally.moves,
+            redirects=self._tally.redirects,
             repeatable=context.repeatable,
             replayable=self._body_ended and not self._body_forwarded,
             keyed=self._keyed,
--- a/packages/daemon/src/pearward_daemon/control.py
+++ b/packages/daemon/src/pearward_daemon/control.py
@@ -10,6 +10,7 @@
 from pearward_coordination.agent import Abort, Action, CellAgent, GrantServer, Send
 from pearward_coordination.assignment import Joiner
 from pearward_coordination.contact import CellContact
+from pearward_coordination.gossip import RecordGossip
 from pearward_coordination.messages import (
     Announce,
     ControlMessage,
@@ -24,7 +25,6 @@
 )
 from pearward_coordination.ownership import Ownership
 from pearward_coordination.routing import Router
-from pearward_coordination.spread import RecordSpread
 from pearward_state.errors import InvalidRecord
 from pearward_state.records import CellRecord
 from pearward_state.table import ServiceTable
@@ -81,7 +81,7 @@
             settings.caller_address,
         )
         self._agent = CellAgent(me, identity, self._cell, settings.lease)
-        self._spread = RecordSpread(rng)
+        self._spread = RecordGossip(rng)
         self._seeker = Seeker(
             reactor, platform, me, self._cell, rng, self._coordinator_found, self._role_taken
         )
@@ -152,7 +152,7 @@
         return self._agent.record
 
     @property
-    def spread(self) -> RecordSpread:
+    def spread(self) -> RecordGossip:
         """The versions that this daemon knows."""
         return self._spread
 
@@ -215,9 +215,9 @@
         """A request that held a permit has ended."""
         self._act(self._agent.finished(run, boot_time()))
 
-    def server_forgot(self) -> None:
+    def server_lost_grants(self) -> None:
         """The server refused a request for want of a grant."""
-        self._agent.server_forgot()
+        self._agent.server_lost_grants()
 
     def server_suspect(self) -> None:
         """The server did not answer a connection: probe it now."""
@@ -242,24 +242,24 @@
         since a connection that stays up greets only once.
         """
         self._listeners[peer.address] = peer
-        self._contact.heard(peer, boot_time())
+        self._contact.note_received(peer, boot_time())
         ended = expected - {peer.incarnation}
         self._ended |= ended
         if self._writer is not None:
             self._writer.core.peer_seen(peer)
-            self._writer.core.has_ended(ended)
+            self._writer.core.note_ended(ended)
 
     def control_received(self, sender: PeerId, message: ControlMessage) -> None:
         """Act on a peer's message."""
-        self._contact.heard(sender, boot_time())
+        self._contact.note_received(sender, boot_time())
         if isinstance(message, HeartbeatReply | ReleaseReply | RenewReply):
-            self._contact.answered(sender, boot_time())
+            self._contact.note_reply(sender, boot_time())
         match message:
             case Heartbeat():
                 self._on_heartbeat(sender, message)
             case HeartbeatReply() if sender.address == self._agent.coordinator:
                 if message.coordinating:
-                    self._seeker.heard()
+                    self._seeker.note_received()
                 else:
                     self._agent.set_coordinator("")
             case HeartbeatReply():
@@ -423,7 +423,7 @@
         self._writer = writer
         for peer in (self._me, *self._listeners.values()):
             writer.core.peer_seen(peer)
-        writer.core.has_ended(self._ended)
+        writer.core.note_ended(self._ended)
         writer.start()
         self._agent.set_coordinator(self._me.address)
 
@@ -436,10 +436,10 @@
     def _tick(self) -> None:
         now = boot_time()
         self._act(self._agent.tick(now))
-        alone = self._contact.is_alone(now)
-        handicap_s = self._contact.handicap_s(now, lease_held=self.lease_held)
+        alone = self._contact.is_isolated(now)
+        election_delay_s = self._contact.election_delay_s(now, lease_held=self.lease_held)
         may_replace = self._contact.may_replace_coordinator(now)
-        self._seeker.tick(self._rank(), handicap_s, may_replace=may_replace)
+        self._seeker.tick(self._rank(), election_delay_s, may_replace=may_replace)
         self._fallback.tick(now, alone=alone)
         self._agent.set_unreachable(alone and self._is_idle_member())
         if self._writer is not None:
@@ -468,7 +468,7 @@
             if member.incarnation not in self._ended:
                 self._pool.probe(member.peer)
         if self._writer is not None:
-            self._writer.core.has_ended(self._ended)
+            self._writer.core.note_ended(self._ended)
 
     def _rank(self) -> int:
         """Return this daemon's place in the order in which members seek a coordinator."""
--- a/packages/daemon/src/pearward_daemon/ingress.py
+++ b/packages/daemon/src/pearward_daemon/ingress.py
@@ -3,9 +3,9 @@
 from random import Random
 from typing import Any, Protocol
 
-from pearward_coordination.memory import RequestMemory
 from pearward_coordination.retry import RetryBudget
 from pearward_coordination.routing import Router
+from pearward_coordination.seen_requests import SeenRequests
 from pearward_protocol.httpmap import RequestLimits
 from pearward_state.records import CellRecord
 from pearward_transport.caller_request import BodySink, CallerRequest
@@ -68,7 +68,7 @@
         self._log_sample = log_sample
         self._until_logged = 0
         self.rng = rng
-        self.memory = RequestMemory(limits.remember_s, limits.remember_count)
+        self.memory = SeenRequests(limits.remember_s, limits.remember_count)
         self._budgets: dict[str, RetryBudget] = {}
         self._open: set[RoutedRequest] = set()
 
--- a/packages/daemon/src/pearward_daemon/mesh/app.py
+++ b/packages/daemon/src/pearward_daemon/mesh/app.py
@@ -23,11 +23,11 @@
 from .core import MeshCore
 from .dialect import Dialect, GrantPort
 from .ingress import WINDOW, MeshIngress
+from .local_target import LocalTarget
 from .log import DecisionLog
 from .metrics import LazyMetrics
 from .paced_stream import LinkPacer, PacedStream
 from .settings import MeshSettings
-from .target_side import TargetSide
 
 __all__ = ["MeshDaemon"]
 
@@ -61,7 +61,7 @@
         store: FleetStore,
         dialect: Dialect,
         grants: GrantPort,
-        heartbeat_server: Callable[[TargetSide], LocalServer],
+        heartbeat_server: Callable[[LocalTarget], LocalServer],
         rng: Random,
     ) -> None:
         self._reactor = reactor
@@ -72,7 +72,7 @@
         link = LinkQueue(settings.link_mbit_per_s)
         self._link = link
         self._pacer = LinkPacer(reactor, link)
-        self._note_sent = lambda size: link.handed_over(size, boot_time())
+        self._note_sent = lambda size: link.note_sent(size, boot_time())
         self._pool = PeerPool(
             self._own_id, self, reactor, window=WINDOW, bind_ip=settings.peers.ip,
             on_sent=self._note_sent,
@@ -82,7 +82,7 @@
             reactor, settings, store, dialect, self._log, self._own_id, client,
             self._pool.send_control, link, grants,
         )  # fmt: skip
-        self._local_target = self._core.side
+        self._local_target = self._core.local_target
         self._metrics = LazyMetrics(settings.instance)
         self._ingress = MeshIngress(
             reactor, settings, dialect, self._core.directory, self._core.key_maps,
@@ -115,7 +115,7 @@
             settings.callers.port, self._callers, interface=settings.callers.ip, backlog=512
         )
         self._export_gauges()
-        self._log.decided(
+        self._log.emit(
             "started", instance=settings.instance, incarnation=self._own_id.incarnation,
             service=settings.service, peers=self._own_id.address,
         )  # fmt: skip
@@ -126,7 +126,7 @@
         if self._stopping_since is not None:
             return
         self._stopping_since = boot_time()
-        self._log.decided(
+        self._log.emit(
             "stopping", open=self._ingress.open_requests, at_target=self._local_target.open_requests
         )
         self._core.stop()
@@ -136,7 +136,7 @@
     def reload(self, settings: MeshSettings) -> None:
         """Compare settings that were read again; changes take effect only after a restart."""
         changed = settings != self._settings
-        self._log.decided("settings_read", changed=changed)
+        self._log.emit("settings_read", changed=changed)
 
     def _check_stopped(self) -> None:
         """Stop once no requests are open, or shortly before the platform kills this process.
@@ -174,7 +174,7 @@
         """
         self._local_target.refuse_new()
         keep = self._local_target.info is not None
-        self._log.decided(
+        self._log.emit(
             "ending", waited_s=round(waited_s, 3), open=self._open_requests,
             entry_kept=keep,
         )  # fmt: skip
@@ -189,7 +189,7 @@
         if open_requests and not expired:
             self._reactor.callLater(STOP_POLL_S, self._exit_when_idle)
             return
-        self._log.decided(
+        self._log.emit(
             "stopped", waited_s=round(waited_s, 3), open=open_requests,
             cut=self._ingress.cancel_open(),
         )  # fmt: skip
@@ -281,7 +281,7 @@
         gauge("pearward.map.version", "Key map acted on", lambda: target.map_version)
         gauge(
             "pearward.lease.left", "Seconds for which keys may be granted",
-            lambda: max(0.0, target.keeper.lease_ends - boot_time()),
+            lambda: max(0.0, target.grant_manager.lease_ends - boot_time()),
         )  # fmt: skip
         gauge(
             "pearward.configuration.version", "Configuration in force",
@@ -291,7 +291,11 @@
             "pearward.quarantined", "Requests that are refused as targets crashed under them",
             lambda: self._core.crashes.quarantine.refused(boot_time()),
         )  # fmt: skip
-        gauge("pearward.planner", "Plans the keys", lambda: float(self._core.planner.on_duty))
+        gauge(
+            "pearward.planner",
+            "Plans the keys",
+            lambda: float(self._core.planner.is_active_planner),
+        )
         gauge(
             "pearward.watcher", "Follows the members in the store",
             lambda: float(self._core.feed.is_watcher),
--- a/packages/daemon/src/pearward_daemon/mesh/call_delivery.py
+++ b/packages/daemon/src/pearward_daemon/mesh/call_delivery.py
@@ -7,17 +7,17 @@
 from twisted.python.failure import Failure
 
 from pearward_coordination.grant_calls import (
-    CALL_SENT_S,
+    CALL_SEND_TIMEOUT_S,
     CALL_TRANSIT_S,
     GrantCall,
     GrantCalls,
     ReleaseCall,
 )
-from pearward_coordination.grants import GrantKeeper
+from pearward_coordination.grants import GrantManager
 from pearward_transport.clock import boot_time
 from pearward_transport.errors import ServerUnreachable
 
-from .dialect import BeatAnswer, GrantPort, GrantReply, GrantVerdict, ReleaseReply
+from .dialect import GrantPort, GrantReply, GrantVerdict, HeartbeatResponse, ReleaseReply
 from .log import DecisionLog
 
 __all__ = ["CallDelivery"]
@@ -32,7 +32,7 @@
     def __init__(
         self,
         reactor: Any,
-        keeper: GrantKeeper,
+        grant_manager: GrantManager,
         port: GrantPort,
         log: DecisionLog,
         on_granted: Callable[[int, int], None],
@@ -41,14 +41,14 @@
         on_other_target: Callable[[str], None],
     ) -> None:
         self._reactor = reactor
-        self._grant_manager = keeper
+        self._grant_manager = grant_manager
         self._port = port
         self._log = log
         self._on_granted = on_granted
         self._on_released = on_released
         self._on_map_outdated = on_map_outdated
         self._on_other_target = on_other_target
-        self._calls = GrantCalls(keeper)
+        self._calls = GrantCalls(grant_manager)
         self._keyed = False
         self._timer: Any = None
 
@@ -62,17 +62,17 @@
         """Drop calls in transit, which concern the former incarnation."""
         self._port.close()
         self._calls.target_changed()
-        self._grant_manager.begun_unknown(CALL_TRANSIT_S)
+        self._grant_manager.assume_unknown_grants(CALL_TRANSIT_S)
 
-    def respond(self, received: float, *, at_once: bool) -> "Deferred[BeatAnswer]":
+    def respond(self, received: float, *, at_once: bool) -> "Deferred[HeartbeatResponse]":
         """Answer a heartbeat at once, without keys; attach to the process that sent it."""
         if self._keyed:
             self._port.attach().addCallbacks(lambda _: self.deliver(), self._not_attached)
-        return succeed(BeatAnswer())
+        return succeed(HeartbeatResponse())
 
     def _not_attached(self, failure: Failure) -> None:
         failure.trap(ServerUnreachable)
-        self._log.decided(
+        self._log.emit(
             "target_not_reached", failure=True, target=self._grant_manager.target,
             error=failure.getErrorMessage(),
         )  # fmt: skip
@@ -96,11 +96,11 @@
     def _grant(self, call: GrantCall) -> None:
         target = self._grant_manager.target
         if call.first_time:
-            self._log.decided(
+            self._log.emit(
                 "grant_sent", target=target, first=call.row.first, last=call.row.last,
                 fence=call.row.fence, warm=bool(call.row.token), hold_s=round(call.hold_s, 3),
             )  # fmt: skip
-        send_by = call.hold.sent + CALL_SENT_S
+        send_by = call.hold.sent + CALL_SEND_TIMEOUT_S
         self._port.grant(target, call.row, call.hold_s, send_by).addCallback(
             self._grant_replied, call, target
         )
@@ -118,7 +118,7 @@
         else:
             self._calls.refused(call, boot_time())
         key_map = self._grant_manager.key_map
-        self._log.decided(
+        self._log.emit(
             "grant_not_taken", failure=True, target=target, reply=reply.verdict.value,
             detail=reply.detail, first=call.row.first, last=call.row.last, fence=call.row.fence,
             map=key_map.version if key_map is not None else 0,
@@ -132,7 +132,7 @@
 
     def _release(self, call: ReleaseCall) -> None:
         sent = boot_time()
-        self._log.decided(
+        self._log.emit(
             "release_sent", target=self._grant_manager.target, first=call.row.first,
             last=call.row.last, fence=call.row.fence,
         )  # fmt: skip
@@ -143,14 +143,14 @@
         took_s = round(boot_time() - sent, 3)
         if not reply.released:
             self._calls.release_unanswered(call)
-            self._log.decided(
+            self._log.emit(
                 "release_unanswered", failure=True, target=self._grant_manager.target,
                 first=call.row.first, last=call.row.last, fence=call.row.fence, took_s=took_s,
                 detail=reply.detail,
             )  # fmt: skip
             return
         if self._calls.released(call, reply.token):
-            self._log.decided(
+            self._log.emit(
                 "keys_released", target=self._grant_manager.target, first=call.row.first,
                 last=call.row.last, fence=call.row.fence, took_s=took_s,
             )  # fmt: skip
--- a/packages/daemon/src/pearward_daemon/mesh/core.py
+++ b/packages/daemon/src/pearward_daemon/mesh/core.py
@@ -46,12 +46,12 @@
 from .drain_control import DrainControl
 from .key_maps import KeyMaps
 from .key_planner import REPORT_INTERVAL_S, TICK_S, KeyPlanner
+from .local_target import LocalTarget, TargetInfo
 from .log import DecisionLog
 from .member_feed import MemberFeed
 from .settings import MeshSettings
 from .store_session import StoreSession
-from .target_lease import TargetLease, Witnesses
-from .target_side import TargetInfo, TargetSide
+from .target_lease import LocalWitness, TargetLease
 
 __all__ = ["MeshCore", "SendControl"]
 
@@ -93,12 +93,12 @@
         self._send = send
         self._directory = Directory(
             settings.failure_domain, settings.instance,
-            few_looks=settings.overload.uses(Mechanism.FEW_LOOKS),
+            sample_candidates=settings.overload.uses(Mechanism.FEW_SAMPLES),
         )  # fmt: skip
         self._maps = KeyMaps(log)
         self._crashes = CrashControl(settings, self._directory, log, send, self._store_crash)
-        guard = CrashGuard(self._crashes.quarantine, log, self._crashes.crashed_here)
-        self._local_target = TargetSide(
+        guard = CrashGuard(self._crashes.quarantine, log, self._crashes.report_local_crash)
+        self._local_target = LocalTarget(
             reactor, settings, dialect, log, client, link, grants, guard
         )
         self._planner = KeyPlanner(
@@ -110,9 +110,9 @@
             self._broadcast_map,
             self._query_former_leases,
         )
-        self._witnesses = Witnesses(settings.holds, self._maps)
+        self._witnesses = LocalWitness(settings.holds, self._maps)
         self._lease = TargetLease(
-            settings.instance, settings.service, settings.holds, self._local_target.keeper,
+            settings.instance, settings.service, settings.holds, self._local_target.grant_manager,
             self._maps, self._directory, self._witnesses, log, send,
         )  # fmt: skip
         self._drains = DrainControl(settings.failure_domains, dialect, log, self._drains_in_force)
@@ -141,7 +141,7 @@
         return self._maps
 
     @property
-    def side(self) -> TargetSide:
+    def local_target(self) -> LocalTarget:
         """The daemon's half that serves its local target."""
         return self._local_target
 
@@ -213,11 +213,11 @@
     def _run_periodic_work(self) -> None:
         self._reactor.callLater(TICK_S, self._run_periodic_work)
         self._directory.expire(boot_time())
-        self._planner.own_entry(self._session.registered)
+        self._planner.set_registered(self._session.registered)
         if self._table is not None and self._members_known:
             self._planner.tick(self._table.keyed_services, self._stopping)
-        self._local_target.reconsider()
-        self._lease.ask_releases()
+        self._local_target.update_grants()
+        self._lease.query_releases()
         self._answer_pending_queries()
         self._feed.tick()
 
@@ -225,7 +225,7 @@
         """Renew the lease under which keys are granted, and schedule the next renewal."""
         self._reactor.callLater(self._settings.holds.lease.renew_s, self._renew)
         if self._lease.renew():
-            self._local_target.reconsider()
+            self._local_target.update_grants()
 
     def _report(self) -> None:
         self._reactor.callLater(REPORT_INTERVAL_S, self._report)
@@ -235,7 +235,7 @@
         """Report the state of the local keyed target to the planner."""
         if self._table is None or self._settings.service not in self._table.keyed_services:
             return
-        holder = self._planner.duty_holder()
+        holder = self._planner.active_planner()
         if holder is None:
             return
         report = self._local_target.take_report()
@@ -253,12 +253,12 @@
         try:
             table = self._dialect.configuration(document)
         except InvalidRecord as error:
-            self._log.decided("configuration_unreadable", failure=True, error=str(error))
+            self._log.emit("configuration_unreadable", failure=True, error=str(error))
             return
         present = self._table
         if present is not None and table.version <= present.version:
             return
-        self._log.decided(
+        self._log.emit(
             "configuration_in_force", version=table.version, routes=len(table.routes),
             before=present.version if present is not None else 0,
         )  # fmt: skip
@@ -295,14 +295,14 @@
         known = self._directory.instance(member.instance)
         self._directory.entry_written(member)
         new = known is None or known.incarnation != member.incarnation
-        if new and self._planner.on_duty and member.instance != self._settings.instance:
+        if new and self._planner.is_active_planner and member.instance != self._settings.instance:
             for service in self._table.keyed_services if self._table is not None else ():
                 self._send_map(service, PeerId(member.incarnation, member.peer_address))
 
     def member_gone(self, instance: str) -> None:
         """Apply the removal of a member's entry."""
-        self._log.decided("member_entry_gone", instance=instance)
-        self._directory.entry_gone(instance, boot_time())
+        self._log.emit("member_entry_gone", instance=instance)
+        self._directory.entry_removed(instance, boot_time())
 
     def crashes_read(self, records: list[CrashRecord]) -> None:
         """Apply crashes of targets that are recorded in the store."""
@@ -330,7 +330,7 @@
     def former_targets(self, targets: list[str]) -> None:
         """Note the targets to which earlier incarnations of this daemon granted keys."""
         self._former_targets = targets
-        self._local_target.former_known(targets)
+        self._local_target.set_former_incarnations(targets)
         self._note_ended_targets()
 
     # -- the target --------------------------------------------------------------------
@@ -347,13 +347,13 @@
         self._answer_pending_queries()
         self._send_report()
 
-    def keys_wanted(self) -> None:
+    def keys_missing(self) -> None:
         """Query the predecessors' daemons for the release of keys."""
         now = boot_time()
-        key_map = self._local_target.keeper.key_map
+        key_map = self._local_target.grant_manager.key_map
         if key_map is None:
             return
-        for pending in self._local_target.keeper.pending(now):
+        for pending in self._local_target.grant_manager.pending(now):
             for predecessor in pending.predecessors:
                 query = AskKeys(
                     key_map.service, predecessor.target, predecessor.fence,
@@ -364,7 +364,7 @@
             k: at for k, at in self._last_query_at.items() if now - at < 4 * QUERY_INTERVAL_S
         }
 
-    def map_wanted(self) -> None:
+    def map_outdated(self) -> None:
         """Request the planner's key map, as the target has seen a newer one."""
         self.request_map_from_planner(self._settings.service)
 
@@ -435,7 +435,7 @@
 
     def request_map_from_planner(self, service: str) -> None:
         """Request the planner's key map of a service, where there is none here or an old one."""
-        holder = self._planner.duty_holder()
+        holder = self._planner.active_planner()
         if holder is not None and holder.instance != self._settings.instance:
             self.request_map(service, holder.peer_address)
 
@@ -453,7 +453,7 @@
         """Process a control message."""
         match message:
             case KeyReport():
-                self._directory.heard(message.target, boot_time())
+                self._directory.note_alive(message.target, boot_time())
                 version = self._planner.reported(message)
                 if version > message.version:
                     self._send_map(message.service, sender, message.version)
@@ -465,7 +465,7 @@
                 if message.version > self._maps.version(message.cell):
                     self.request_map(message.cell, sender.address)
                 if self._lease.renewed(sender, message):
-                    self._local_target.reconsider()
+                    self._local_target.update_grants()
             case AskRelease():
                 if message.version > self._maps.version(message.cell):
                     self.request_map(message.cell, sender.address)
@@ -474,32 +474,32 @@
                 self._former_leases_ended(sender, message)
             case ReleaseReply():
                 if self._lease.released(sender, message):
-                    self._local_target.reconsider()
+                    self._local_target.update_grants()
             case AskKeys():
                 self._keys_queried(message, sender)
             case KeysLetGo():
                 predecessor = Predecessor(message.target, message.fence)
-                self._local_target.released_elsewhere(predecessor, message.rows)
+                self._local_target.released_by_predecessor(predecessor, message.rows)
             case Push():
                 self._maps.take(message)
             case PushChange():
-                if self._maps.take_change(message, sender.address):
+                if self._maps.apply_change(message, sender.address):
                     # The change does not apply to the map held here: request the whole map.
                     self._send(sender.address, Pull((message.key,)))
             case Pull():
                 for key in message.keys:
                     self._send_map(key.rpartition("/")[2], sender, message.held)
             case TargetCrashed():
-                self._crashes.told(message)
+                self._crashes.peer_reported(message)
             case AskChanges():
-                self._feed.asked(sender, message)
+                self._feed.query_received(sender, message)
             case TellChanges():
-                self._feed.told(message)
+                self._feed.reply_received(message)
             case Announce():
                 if message.version > self._maps.version(message.key.rpartition("/")[2]):
                     self._send(sender.address, Pull((message.key,)))
             case _:
-                self._log.decided("message_unknown", kind=type(message).__name__)
+                self._log.emit("message_unknown", kind=type(message).__name__)
 
     def _renewal_requested(self, ask: Renew, sender: PeerId) -> None:
         """Answer as a witness, and bring whichever side has the older key map up to date."""
@@ -513,14 +513,14 @@
     def _query_former_leases(self, instance: str, ask: AskRelease) -> None:
         """Query an instance for leases that still run by maps of earlier eras of the store."""
         if instance == self._settings.instance:
-            self._planner.former_over(instance, self._witnesses.release(ask))
+            self._planner.former_leases_reported(instance, self._witnesses.release(ask))
         elif (member := self._directory.instance(instance)) is not None:
             self._send(member.peer_address, ask)
 
     def _former_leases_ended(self, sender: PeerId, reply: ReleaseReply) -> None:
         for member in self._directory.members:
             if member.peer_address == sender.address:
-                self._planner.former_over(member.instance, reply)
+                self._planner.former_leases_reported(member.instance, reply)
 
     def _send_map(self, service: str, peer: PeerId, held: int = 0) -> None:
         """Send a peer the newest map, or the change from the version that it holds."""
@@ -534,7 +534,7 @@
             self.request_map(query.service, requester.address)
         if query.service != self._settings.service:
             # Not a target of this instance: its witnesses report when its lease has expired.
-            self._log.decided("question_not_for_here", service=query.service)
+            self._log.emit("question_not_for_here", service=query.service)
             return
         if len(self._pending_queries) < MAX_PENDING_QUERIES:
             self._pending_queries[query] = requester
@@ -544,7 +544,7 @@
         """Answer every query whose keys have been released."""
         now = boot_time()
         for query, requester in list(self._pending_queries.items()):
-            rows = self._local_target.keeper.release_of(
+            rows = self._local_target.grant_manager.released_rows(
                 query.target, query.first, query.last, query.fence,
                 query.version, now,
             )  # fmt: skip
--- a/packages/daemon/src/pearward_daemon/mesh/crash_control.py
+++ b/packages/daemon/src/pearward_daemon/mesh/crash_control.py
@@ -42,7 +42,7 @@
         """Requests that are suspected of crashing targets."""
         return self._quarantine
 
-    def crashed_here(self, record: CrashRecord) -> None:
+    def report_local_crash(self, record: CrashRecord) -> None:
         """Record a crash of the local target, store it and send it to the other daemons."""
         self._note_crash(record, "seen here")
         self._store_record(record)
@@ -52,7 +52,7 @@
             if elsewhere and member.service == self._settings.service:
                 self._send(member.peer_address, message)
 
-    def told(self, message: TargetCrashed) -> None:
+    def peer_reported(self, message: TargetCrashed) -> None:
         """Record a crash that another daemon has just detected."""
         self._note_crash(CrashRecord(message.target, unix_time(), message.contents), "told")
 
@@ -62,8 +62,8 @@
             self._note_crash(record, "recorded")
 
     def _note_crash(self, record: CrashRecord, how: str) -> None:
-        for content in self._quarantine.learn(record, boot_time(), unix_time()):
-            self._log.decided(
+        for content in self._quarantine.note_crash(record, boot_time(), unix_time()):
+            self._log.emit(
                 "request_quarantined", failure=True, content=content, target=record.target,
                 how=how, age_s=round(unix_time() - record.at, 3),
             )  # fmt: skip
--- a/packages/daemon/src/pearward_daemon/mesh/crash_entries.py
+++ b/packages/daemon/src/pearward_daemon/mesh/crash_entries.py
@@ -50,7 +50,7 @@
         self._written[record.target] = (record, now)
         self._run(self._write(record, now))
 
-    def store_went_back(self) -> int:
+    def store_restored(self) -> int:
         """Write the entries in force again after a restore; return their number."""
         self._forget(boot_time())
         for record, detected_at in self._written.values():
@@ -76,10 +76,10 @@
                 await self._store.commit(
                     [], [Put(crash_key(record.target), encode_crash(record), lease)]
                 )
-                self._log.decided("crash_recorded", target=record.target, lease=lease)
+                self._log.emit("crash_recorded", target=record.target, lease=lease)
                 return
             except PlatformError as error:
-                self._log.decided(
+                self._log.emit(
                     "crash_not_recorded", failure=True, target=record.target, error=str(error)
                 )
             await sleep(self._reactor, retry_s)
--- a/packages/daemon/src/pearward_daemon/mesh/crash_guard.py
+++ b/packages/daemon/src/pearward_daemon/mesh/crash_guard.py
@@ -35,7 +35,7 @@
     """The reason to reject a request, and the seconds after which its caller may retry."""
 
     detail: str
-    back_after_s: float
+    retry_delay_s: float
 
 
 class CrashGuard:
@@ -57,18 +57,18 @@
         """The suspected request that the target runs; at most one at a time."""
 
     @property
-    def doubts_target(self) -> bool:
+    def target_suspected(self) -> bool:
         """Whether the target aborted exchanges and has not been seen alive since."""
         return self._broken.by_target
 
     # -- requests -----------------------------------------------------------------
 
-    def barred(
-        self, request: GuardedRequest, usual_s: float, now: float
+    def rejection(
+        self, request: GuardedRequest, mean_run_s: float, now: float
     ) -> QuarantineRejection | None:
         """Return why a request may not be sent to the target now, or None if it may.
 
-        A suspected request that is accepted counts as running from then on. *usual_s* is the
+        A suspected request that is accepted counts as running from then on. *mean_run_s* is the
         usual processing time of the target's requests in s.
         """
         if not self._quarantine:
@@ -83,7 +83,7 @@
                 )
             case Standing.ALONE:
                 if self._running_suspect is not None and self._running_suspect is not request:
-                    return QuarantineRejection("another suspected request runs", usual_s)
+                    return QuarantineRejection("another suspected request runs", mean_run_s)
                 self._running_suspect = request
                 return None
 
@@ -131,7 +131,7 @@
     def target_crashed(self, target: str, shown_by: str, now: float, unix_now: float) -> None:
         """Handle a crash: report the contents that the target was running."""
         broken = self._broken.take(now)
-        self._log.decided(
+        self._log.emit(
             "target_crashed", failure=True, target=target, shown_by=shown_by,
             requests=[exchange.request_id for exchange in broken],
             contents=[exchange.content for exchange in broken],
--- a/packages/daemon/src/pearward_daemon/mesh/dialect.py
+++ b/packages/daemon/src/pearward_daemon/mesh/dialect.py
@@ -15,16 +15,16 @@
 from pearward_state.routes import RoutingTable
 
 __all__ = [
-    "AnswerFacts",
-    "BeatAnswer",
     "CallerIntent",
     "Dialect",
     "GrantPort",
     "GrantReply",
     "GrantVerdict",
+    "HeartbeatResponse",
     "ReleaseReply",
     "ReportedLoad",
-    "TargetBeat",
+    "ResponseFacts",
+    "TargetHeartbeat",
     "TargetLeave",
 ]
 
@@ -53,7 +53,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerFacts:
+class ResponseFacts:
     """The metadata of a target's response, from its headers."""
 
     request_id: bytes
@@ -68,7 +68,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TargetBeat:
+class TargetHeartbeat:
     """A heartbeat of the local target."""
 
     target: str
@@ -84,7 +84,7 @@
     """Increases with each heartbeat of one incarnation; a delayed one has a lower number."""
     held: tuple[HeldRow, ...]
     released: tuple[ReleasedRow, ...]
-    born_ms: int | None = None
+    started_ms: int | None = None
     """Unix time in ms at which the target's process started; None if not stated."""
 
 
@@ -97,7 +97,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BeatAnswer:
+class HeartbeatResponse:
     """The response to a heartbeat, with all keys that the target is to hold, or without any."""
 
     rows: tuple[GrantedRow, ...] | None = None
@@ -176,7 +176,7 @@
     def forwarded(self, headers: list[tuple[bytes, list[bytes]]], request_id: bytes) -> bytes:
         """Return the header lines that are forwarded to the target."""
 
-    def named(self, forwarded: bytes) -> bytes:
+    def content_identity(self, forwarded: bytes) -> bytes:
         """Return the part of forwarded header lines that, with the path, identifies the content."""
 
     def target_headers(
@@ -184,10 +184,10 @@
     ) -> bytes:
         """Return the header lines of a request to a target."""
 
-    def answer_facts(self, headers: bytes) -> AnswerFacts:
+    def response_facts(self, headers: bytes) -> ResponseFacts:
         """Parse the headers of a target's response."""
 
-    def answer_headers(self, headers: bytes) -> bytes:
+    def response_headers(self, headers: bytes) -> bytes:
         """Return the header lines of a target's response that are forwarded to the caller."""
 
     def refusal_headers(self, request_id: bytes, retry_after_s: float) -> bytes:
--- a/packages/daemon/src/pearward_daemon/mesh/drain_control.py
+++ b/packages/daemon/src/pearward_daemon/mesh/drain_control.py
@@ -58,9 +58,9 @@
         """Record that all changes up to *revision* have been applied."""
         self._view.complete_to(revision)
 
-    def told(self, state: DomainDrains) -> None:
+    def peer_reported(self, state: DomainDrains) -> None:
         """Apply the state of another daemon if it is newer."""
-        self._apply(self._view.told(state, boot_time()), "sent by another daemon")
+        self._apply(self._view.merge(state, boot_time()), "sent by another daemon")
 
     def _domain(self, key: str, value: bytes | None) -> str | None:
         """Return the failure domain of an entry; log an invalid entry and return None."""
@@ -72,7 +72,7 @@
             if value is not None:
                 self._dialect.check_drain(value)
         except InvalidRecord as error:
-            self._log.decided("drain_unreadable", failure=True, key=key, error=str(error))
+            self._log.emit("drain_unreadable", failure=True, key=key, error=str(error))
             return None
         return domain
 
@@ -80,7 +80,7 @@
         if not changed:
             return
         state = self._view.state
-        self._log.decided(
+        self._log.emit(
             "drains_in_force", domains=sorted(state.domains), revision=state.revision, how=how
         )
         self._on_change(self._view.since)
--- a/packages/daemon/src/pearward_daemon/mesh/grant_delivery.py
+++ b/packages/daemon/src/pearward_daemon/mesh/grant_delivery.py
@@ -4,7 +4,7 @@
 
 from twisted.internet.defer import Deferred
 
-from .dialect import BeatAnswer
+from .dialect import HeartbeatResponse
 
 __all__ = ["GrantDelivery"]
 
@@ -18,7 +18,7 @@
     def target_changed(self) -> None:
         """Handle a new incarnation of the target."""
 
-    def respond(self, received: float, *, at_once: bool) -> "Deferred[BeatAnswer]":
+    def respond(self, received: float, *, at_once: bool) -> "Deferred[HeartbeatResponse]":
         """Return the response to a heartbeat received at *received*, delayed unless *at_once*."""
 
     def deliver(self) -> None:
--- a/packages/daemon/src/pearward_daemon/mesh/beat_answers.py
+++ b/packages/daemon/src/pearward_daemon/mesh/heartbeat_responses.py
@@ -6,10 +6,10 @@
 
 from twisted.internet.defer import Deferred
 
-from pearward_coordination.grants import GrantKeeper
+from pearward_coordination.grants import GrantManager
 from pearward_transport.clock import boot_time
 
-from .dialect import BeatAnswer
+from .dialect import HeartbeatResponse
 from .log import DecisionLog
 
 __all__ = ["HeartbeatResponses"]
@@ -27,7 +27,7 @@
     """A heartbeat whose response is delayed."""
 
     received: float
-    response: "Deferred[BeatAnswer]"
+    response: "Deferred[HeartbeatResponse]"
     timer: Any
 
 
@@ -37,12 +37,12 @@
     def __init__(
         self,
         reactor: Any,
-        keeper: GrantKeeper,
+        grant_manager: GrantManager,
         log: DecisionLog,
         on_granted: Callable[[], None],
     ) -> None:
         self._reactor = reactor
-        self._grant_manager = keeper
+        self._grant_manager = grant_manager
         self._log = log
         self._on_granted = on_granted
         self._pending: _PendingResponse | None = None
@@ -55,10 +55,10 @@
     def target_changed(self) -> None:
         """Do nothing: the new incarnation reports the keys it holds in its heartbeats."""
 
-    def respond(self, received: float, *, at_once: bool) -> "Deferred[BeatAnswer]":
+    def respond(self, received: float, *, at_once: bool) -> "Deferred[HeartbeatResponse]":
         """Return the response to a heartbeat; it is delayed unless *at_once* or not keyed."""
         self.deliver()
-        response: Deferred[BeatAnswer] = Deferred()
+        response: Deferred[HeartbeatResponse] = Deferred()
         timer = self._reactor.callLater(MAX_RESPONSE_DELAY_S, self.deliver)
         self._pending = _PendingResponse(received, response, timer)
         if at_once or not self._keyed:
@@ -74,19 +74,19 @@
             pending.timer.cancel()
         pending.response.callback(self._response(pending.received))
 
-    def _response(self, received: float) -> BeatAnswer:
+    def _response(self, received: float) -> HeartbeatResponse:
         if not self._keyed:
-            return BeatAnswer()
+            return HeartbeatResponse()
         now = boot_time()
         granted = self._grant_manager.grant(received, now)
         if granted is None:
             key_map = self._grant_manager.key_map
-            self._log.decided(
+            self._log.emit(
                 "hold_not_renewed", target=self._grant_manager.target,
                 map=key_map.version if key_map is not None else 0,
                 lease_left_s=round(self._grant_manager.lease_ends - now, 3),
             )  # fmt: skip
-            return BeatAnswer()
+            return HeartbeatResponse()
         rows, hold_s = granted
         self._reactor.callLater(GRANT_EFFECT_DELAY_S, self._on_granted)
-        return BeatAnswer(tuple(rows), hold_s)
+        return HeartbeatResponse(tuple(rows), hold_s)
--- a/packages/daemon/src/pearward_daemon/mesh/ingress.py
+++ b/packages/daemon/src/pearward_daemon/mesh/ingress.py
@@ -10,14 +10,14 @@
 from pearward_coordination.directory import Directory
 from pearward_coordination.overload.key_shedding import KeyShedding
 from pearward_coordination.overload.policy import Mechanism
-from pearward_coordination.overload.returns import UsualDeadline
+from pearward_coordination.overload.retry_delay import RetryAgeEstimator
 from pearward_coordination.quarantine import Quarantine
 from pearward_coordination.retry_window import RetryWindow
 from pearward_coordination.selection import (
-    Exchange,
-    IdleOdds,
+    ExchangeProfile,
+    FreeSlotOdds,
     TargetLoad,
-    WeightedTurns,
+    WeightedRoundRobin,
     choose_target,
 )
 from pearward_protocol.errors import BadHeader
@@ -29,10 +29,10 @@
 
 from .dialect import Dialect
 from .key_maps import KeyMaps
+from .local_target import LocalTarget
 from .log import DecisionLog
 from .routed_request import RoutedRequest
 from .settings import MeshSettings
-from .target_side import TargetSide
 
 __all__ = ["MeshIngress", "Placement", "RequestMetrics"]
 
@@ -109,7 +109,7 @@
         dialect: Dialect,
         directory: Directory,
         key_maps: KeyMaps,
-        local_target: TargetSide,
+        local_target: LocalTarget,
         pool: PeerPool,
         log: DecisionLog,
         metrics: RequestMetrics,
@@ -128,13 +128,13 @@
         self._request_map = request_map
         self._request_map_from_planner = request_map_from_planner
         self._table: RoutingTable | None = None
-        self._turns: dict[tuple[str, tuple[Any, ...]], WeightedTurns] = {}
+        self._turns: dict[tuple[str, tuple[Any, ...]], WeightedRoundRobin] = {}
         self._budgets: dict[str, RetryWindow] = {}
         self._mean_size_kb: dict[str, float] = {}
         """Mean size of a request and its response, by route."""
-        self._usual_deadlines: dict[str, UsualDeadline] = {}
+        self._usual_deadlines: dict[str, RetryAgeEstimator] = {}
         """Time that callers usually allow for their first attempt, by route."""
-        self._idle_odds: dict[str, IdleOdds] = {}
+        self._idle_odds: dict[str, FreeSlotOdds] = {}
         self._shedding = KeyShedding(rng)
         self._sheds = settings.overload.uses(Mechanism.SHED_KEYS)
         self._open: set[RoutedRequest] = set()
@@ -237,7 +237,7 @@
     ) -> BodySink:
         """Refuse a request at once, without an attempt."""
         headers = self._dialect.refusal_headers(request_id, retry_after_s)
-        self.log.decided(
+        self.log.emit(
             "refused_at_once", failure=True, id=request_id.decode("latin-1"), status=status,
             detail=detail,
         )  # fmt: skip
@@ -265,14 +265,14 @@
         key = (route.name, route.services)
         turns = self._turns.get(key)
         if turns is None:
-            turns = self._turns[key] = WeightedTurns(route.services, self._rng)
+            turns = self._turns[key] = WeightedRoundRobin(route.services, self._rng)
         return turns.next()
 
     def age_s(self, route: Route, deadline_ms: int | None, now: float) -> float:
         """Return the estimated seconds since a caller's first attempt, by the time it allows."""
-        if deadline_ms is None or not self._settings.overload.uses(Mechanism.AGED_RETURNS):
+        if deadline_ms is None or not self._settings.overload.uses(Mechanism.AGED_RETRIES):
             return 0.0
-        usual = self._usual_deadlines.setdefault(route.name, UsualDeadline())
+        usual = self._usual_deadlines.setdefault(route.name, RetryAgeEstimator())
         return usual.age_s(deadline_ms / MS_PER_S, now)
 
     def is_keyed(self, service: str) -> bool:
@@ -298,9 +298,9 @@
         directory = self.directory
         candidates = directory.candidates(service, now, unix_time(), tried, self._rng, full)
         size_kb = self._mean_size_kb.get(route.name, 0.0)
-        exchange = Exchange(size_kb, route.kind is RequestKind.DOWNLOAD)
-        usual_s = directory.usual_s(service)
-        chosen = choose_target(candidates, now, self._rng, exchange, usual_s)
+        exchange = ExchangeProfile(size_kb, route.kind is RequestKind.DOWNLOAD)
+        mean_run_s = directory.mean_run_s(service)
+        chosen = choose_target(candidates, now, self._rng, exchange, mean_run_s)
         return self._placement(chosen.target, 0) if chosen is not None else None
 
     def _owner_of(self, service: str, key: int) -> Placement | None:
@@ -346,11 +346,11 @@
         """Return whether a service has an available target that was not tried."""
         return self.directory.has_candidate(service, frozenset(tried))
 
-    def idle_odds(self, service: str) -> IdleOdds | None:
+    def idle_odds(self, service: str) -> FreeSlotOdds | None:
         """Return the odds that a service's targets have a free slot; None if that is not probed."""
         if not self._settings.overload.uses(Mechanism.IDLE_FIRST):
             return None
-        return self._idle_odds.setdefault(service, IdleOdds())
+        return self._idle_odds.setdefault(service, FreeSlotOdds())
 
     def connection(self, address: str) -> PeerConnection | None:
         """Return the connection to another daemon, or None if it is not established."""
@@ -379,7 +379,7 @@
 
     def load_reported(self, target: str, load: TargetLoad) -> None:
         """Record the load that a target's response reported."""
-        self.directory.loaded(target, load, boot_time())
+        self.directory.note_load(target, load, boot_time())
 
     def exchange_completed(self, route: Route, size: int) -> None:
         """Record the size in bytes of a request and its response on a route."""
@@ -402,8 +402,8 @@
 
     def target_unreachable(self, target: str, detail: str) -> None:
         """Record that a target's daemon could not be reached."""
-        self.directory.unreachable(target, boot_time())
-        self.log.decided("peer_unreachable", failure=True, target=target, detail=detail)
+        self.directory.note_unreachable(target, boot_time())
+        self.log.emit("peer_unreachable", failure=True, target=target, detail=detail)
 
     def map_version_seen(self, service: str, map_version: int, placement: Placement) -> None:
         """Request the key map of a daemon that replied by a newer version than the one here."""
@@ -416,13 +416,13 @@
         """Return the header lines that are forwarded to the target."""
         return self._dialect.forwarded(list(request.requestHeaders.getAllRawHeaders()), request_id)
 
-    def named(self, headers: bytes) -> bytes:
+    def content_identity(self, headers: bytes) -> bytes:
         """Return the part of the header lines that, beside the path, identifies the content."""
-        return self._dialect.named(headers)
+        return self._dialect.content_identity(headers)
 
-    def answer_headers(self, headers: bytes) -> bytes:
+    def response_headers(self, headers: bytes) -> bytes:
         """Return the header lines of a response that are forwarded to the caller."""
-        return self._dialect.answer_headers(headers)
+        return self._dialect.response_headers(headers)
 
     def refusal_headers(self, request_id: bytes, retry_after_s: float) -> bytes:
         """Return the header lines of a response that pearward generates itself."""
