--- a/packages/daemon/src/pearward_daemon/mesh/key_map_entry.py
+++ b/packages/daemon/src/pearward_daemon/mesh/key_map_entry.py
@@ -10,7 +10,7 @@
 
 from pearward_protocol.entries import decode_key_map, encode_key_map, era_key, key_map_key
 from pearward_protocol.etcd import KeyValue
-from pearward_state.eras import first_of, next_number
+from pearward_state.eras import era_start, next_number
 from pearward_state.errors import InvalidRecord
 from pearward_state.keymap import KeyMap
 from pearward_transport.errors import PlatformUnavailable
@@ -81,7 +81,7 @@
         current = found is not None and found.version == newest.version and found.era == era
         if not current and not era_settled:
             raise MapNotSettled(f"{self._key}: version {newest.version} in era {era}")
-        self._log.decided(
+        self._log.emit(
             "key_map_read", service=self._service, era=era,
             version=found.version if found is not None else 0,
             fence=found.fence if found is not None else 0,
@@ -114,14 +114,14 @@
         Each version and fence of an era took a write to the store in that era, so the entry's
         revision is above all of them.
         """
-        self._log.decided(
+        self._log.emit(
             "key_map_unreadable", failure=True, key=item.key, error=str(error),
             known=known.version if known is not None else 0,
         )  # fmt: skip
         self._revision = item.revision
         if known is not None:
             return await self._renumbered(known, era, "restored")
-        restored = rebuild_map(next_number(first_of(era) + counted(item.revision), era))
+        restored = rebuild_map(next_number(era_start(era) + counted(item.revision), era))
         if restored is None:
             raise PlatformUnavailable(
                 f"{item.key} cannot be decoded, and no map is known"
@@ -133,7 +133,7 @@
         """Write a map under a new number if the store lacks it or has it from an earlier era."""
         number = next_number(key_map.version, era)
         renewed = replace(
-            key_map, version=number, fence=max(key_map.fence, first_of(era)),
+            key_map, version=number, fence=max(key_map.fence, era_start(era)),
             unsettled=key_map.unsettled or key_map.era < era,
         )  # fmt: skip
         await self.write(renewed, why)
@@ -152,7 +152,7 @@
         if self._store.era != era:
             self._revision = 0
             raise PlatformUnavailable(f"{self._key}: the store went back under the write")
-        self._log.decided(
+        self._log.emit(
             "key_map_written", service=planned.service, version=planned.version, why=why,
             ranges=len(planned.ranges), targets=len(planned.targets), fence=planned.fence,
             revision=self._revision, era=era, unsettled=planned.unsettled,
--- a/packages/daemon/src/pearward_daemon/mesh/key_maps.py
+++ b/packages/daemon/src/pearward_daemon/mesh/key_maps.py
@@ -7,13 +7,13 @@
     KEY_MAPS,
     decode_key_map,
     decode_key_map_change,
+    deflate,
     encode_key_map,
     encode_key_map_change,
-    packed,
-    unpacked,
+    inflate,
 )
 from pearward_state.errors import InvalidRecord
-from pearward_state.keymap import KeyMap, changed_by
+from pearward_state.keymap import KeyMap, diff_key_maps
 
 from .log import DecisionLog
 
@@ -65,11 +65,11 @@
         if message.version <= self.version(message.key.removeprefix(KEY_MAPS)):
             return
         try:
-            self.adopt(decode_key_map(unpacked(message.value)))
+            self.adopt(decode_key_map(inflate(message.value)))
         except InvalidRecord as error:
-            self._log.decided("key_map_unreadable", failure=True, error=str(error))
+            self._log.emit("key_map_unreadable", failure=True, error=str(error))
 
-    def take_change(self, message: PushChange, sender: str) -> bool:
+    def apply_change(self, message: PushChange, sender: str) -> bool:
         """Apply a change of a map; return whether the complete map must be requested."""
         known = self._maps.get(message.key.removeprefix(KEY_MAPS))
         held = known.version if known is not None else 0
@@ -78,14 +78,14 @@
         why = "base version is not held"
         if known is not None and message.base == held:
             try:
-                self.adopt(known.after(decode_key_map_change(unpacked(message.value))))
+                self.adopt(known.apply(decode_key_map_change(inflate(message.value))))
                 # Forward the message unchanged to daemons that hold the same base.
                 self._changes[known.service] = message
             except InvalidRecord as error:
                 why = str(error)
             else:
                 return False
-        self._log.decided(
+        self._log.emit(
             "key_map_change_refused", failure=True, key=message.key, held=held,
             base=message.base, version=message.version, sender=sender, why=why,
         )  # fmt: skip
@@ -106,14 +106,14 @@
         sent = self._full_messages.get(service)
         if sent is None or sent.version != key_map.version:
             # Compressed: a 6 Mbit/s link needs seconds to send the plain map to all members.
-            value = packed(encode_key_map(key_map))
+            value = deflate(encode_key_map(key_map))
             sent = self._full_messages[service] = Push(KEY_MAPS + service, key_map.version, value)
         return sent
 
     def _change(self, former: KeyMap, key_map: KeyMap) -> PushChange:
         sent = self._changes.get(key_map.service)
         if sent is None or (sent.base, sent.version) != (former.version, key_map.version):
-            value = packed(encode_key_map_change(changed_by(former, key_map)))
+            value = deflate(encode_key_map_change(diff_key_maps(former, key_map)))
             sent = self._changes[key_map.service] = PushChange(
                 KEY_MAPS + key_map.service, former.version, key_map.version, value
             )
--- a/packages/daemon/src/pearward_daemon/mesh/key_planner.py
+++ b/packages/daemon/src/pearward_daemon/mesh/key_planner.py
@@ -15,11 +15,11 @@
 from pearward_coordination.directory import Directory
 from pearward_coordination.era_settling import (
     FormerLeases,
-    fenced_anew,
-    has_former_fences,
+    has_old_fences,
     settled,
+    with_new_fences,
 )
-from pearward_coordination.key_pieces import KeyOwner, rates_by_owner
+from pearward_coordination.key_segments import KeyOwner, rates_by_owner
 from pearward_coordination.keyplan import (
     PlanLimits,
     first_map,
@@ -142,11 +142,11 @@
     # -- properties -------------------------------------------------------------
 
     @property
-    def on_duty(self) -> bool:
+    def is_active_planner(self) -> bool:
         """Whether this daemon is the active planner."""
         return self._active_since is not None
 
-    def duty_holder(self) -> Member | None:
+    def active_planner(self) -> Member | None:
         """Return the member that this daemon considers the active planner, or None.
 
         Members that leave come last. Of the others the one with the fastest link is chosen, as
@@ -186,7 +186,7 @@
 
     # -- planning -----------------------------------------------------------------
 
-    def own_entry(self, there: bool) -> None:
+    def set_registered(self, there: bool) -> None:
         """Set whether this daemon's own entry is certain to exist in the store.
 
         If it may be missing, other daemons may choose another planner and report there, so
@@ -196,7 +196,7 @@
 
     def tick(self, keyed_services: tuple[str, ...], stopping: bool) -> None:
         """Check whether this daemon is the active planner, and start the planning that is due."""
-        holder = self.duty_holder()
+        holder = self.active_planner()
         active = holder is not None and holder.instance == self._settings.instance and not stopping
         now = boot_time()
         if self._store.era != self._era:
@@ -207,10 +207,10 @@
             for service in self._services.values():
                 service.entry.invalidate()
                 service.owners_since = None
-            self._log.decided("planner_duty_begun", members=len(self._directory.registered))
+            self._log.emit("planner_duty_begun", members=len(self._directory.registered))
         elif not active and self._active_since is not None:
             self._active_since = None
-            self._log.decided("planner_duty_ended", holder=holder.instance if holder else "")
+            self._log.emit("planner_duty_ended", holder=holder.instance if holder else "")
         if now - self._seen_at >= MEMBER_SCAN_INTERVAL_S:
             self._seen_at = now
             for member in self._directory.registered:
@@ -227,9 +227,7 @@
         def finished(result: Any) -> None:
             service.working = False
             if result is not None:
-                self._log.decided(
-                    "planning_failed", failure=True, error=result.getTraceback()[-2000:]
-                )
+                self._log.emit("planning_failed", failure=True, error=result.getTraceback()[-2000:])
 
         Deferred.fromCoroutine(work).addBoth(finished)
 
@@ -262,24 +260,24 @@
             return
         except CasConflict as error:
             service.entry.invalidate()
-            self._log.decided("key_map_write_lost", service=name, error=str(error))
+            self._log.emit("key_map_write_lost", service=name, error=str(error))
         except PlatformError as error:
             service.entry.invalidate()
-            self._log.decided("planning_delayed", service=name, error=str(error))
+            self._log.emit("planning_delayed", service=name, error=str(error))
 
     def _next_era_map(self, key_map: KeyMap, service: _Service, now: float) -> KeyMap | None:
         """Return the next map once no lease can be valid under maps of earlier eras, or None."""
         if not key_map.unsettled:
-            if not has_former_fences(key_map):
+            if not has_old_fences(key_map):
                 return None
-            return fenced_anew(key_map, self._owners(key_map.service, service, now))
+            return with_new_fences(key_map, self._owners(key_map.service, service, now))
         instances = self._instances(key_map, now)
-        if service.former.are_over(key_map, instances):
+        if service.former.have_ended(key_map, instances):
             return settled(key_map, self._owners(key_map.service, service, now))
         if now - service.former_asked_at >= QUERY_INTERVAL_S:
             service.former_asked_at = now
             request = AskRelease(key_map.service, "", key_map.version)
-            for instance in service.former.waits_for(key_map, instances):
+            for instance in service.former.unconfirmed(key_map, instances):
                 self._query(instance, request)
         return None
 
@@ -295,10 +293,10 @@
             found.update(name for row in key_map.witnesses for names in row.sets for name in names)
         return frozenset(found)
 
-    def former_over(self, instance: str, reply: ReleaseReply) -> None:
+    def former_leases_reported(self, instance: str, reply: ReleaseReply) -> None:
         """Process an instance's reply on leases under maps of earlier eras."""
         if reply.released:
-            self._service(reply.cell).former.over_at(instance, reply.version)
+            self._service(reply.cell).former.note_ended_at(instance, reply.version)
 
     def _rebuilt_map(self, service: _Service, fence: int) -> KeyMap | None:
         """Return a first map once it is certain that no keys are held under a former one.
@@ -391,9 +389,9 @@
         # While a map is unsettled, keys that move for load would be unavailable for seconds.
         if not unowned and (key_map.unsettled or not service.load.is_due(now)):
             return None
-        load, surged = service.load.look(key_map, now)
+        load, surged = service.load.check(key_map, now)
         if surged:
-            self._log.decided(
+            self._log.emit(
                 "load_surged", service=key_map.service, version=key_map.version,
                 asked=round(sum(row.rate for row in load.rates)),
             )  # fmt: skip
@@ -406,7 +404,7 @@
             return None
         service.load.moved(now)
         asked = rates_by_owner(key_map, load.rates)
-        self._log.decided(
+        self._log.emit(
             "keys_moved", service=key_map.service, version=planned.version,
             why="owners lost or leaving" if unowned else "uneven load", silent=sorted(silent),
             unheard=len(unheard), asked_and_can={
@@ -475,7 +473,7 @@
             elif informed and member.target not in service.stopping:
                 room = self._has_capacity_without(service, member.target, now)
                 service.stopping[member.target] = room
-                self._log.decided(
+                self._log.emit(
                     "planned_stop_seen", target=member.target, keys_move=room, service=name,
                 )  # fmt: skip
 
--- a/packages/daemon/src/pearward_daemon/mesh/target_side.py
+++ b/packages/daemon/src/pearward_daemon/mesh/local_target.py
@@ -6,8 +6,8 @@
 
 from twisted.internet.defer import Deferred, succeed
 
-from pearward_coordination.grants import GrantKeeper, ReleasedRow
-from pearward_coordination.incarnations import BeatClock, BeatSign
+from pearward_coordination.grants import GrantManager, ReleasedRow
+from pearward_coordination.incarnations import HeartbeatIdentity, IncarnationTracker
 from pearward_coordination.key_load import KeyCounter
 from pearward_coordination.link_queue import LinkQueue
 from pearward_coordination.messages import KeyReport
@@ -21,19 +21,26 @@
 from pearward_transport.http_client import ServerClient
 
 from ..exchange import ReplySink
-from .beat_answers import HeartbeatResponses
 from .call_delivery import CallDelivery
 from .crash_guard import CrashGuard, QuarantineRejection
-from .dialect import AnswerFacts, BeatAnswer, Dialect, GrantPort, TargetBeat, TargetLeave
+from .dialect import (
+    Dialect,
+    GrantPort,
+    HeartbeatResponse,
+    ResponseFacts,
+    TargetHeartbeat,
+    TargetLeave,
+)
 from .grant_delivery import GrantDelivery
+from .heartbeat_responses import HeartbeatResponses
 from .log import DecisionLog
 from .parked_requests import ParkedRequests
-from .settings import GrantWay, MeshSettings
-from .target_end import END_CHECK_S, TerminationDetector
+from .settings import GrantMode, MeshSettings
 from .target_request import TargetRequest
 from .target_slots import TargetSlots
+from .termination_detector import END_CHECK_S, TerminationDetector
 
-__all__ = ["LocalTargetListener", "TargetInfo", "TargetSide"]
+__all__ = ["LocalTarget", "LocalTargetListener", "TargetInfo"]
 
 HEARTBEAT_TIMEOUT_S = 4.0
 """Seconds without a heartbeat after which a target is published as draining. Heartbeats may be
@@ -71,14 +78,14 @@
     def keys_changed(self) -> None:
         """Handle keys that the target released, or a new set of keys that it owns."""
 
-    def keys_wanted(self) -> None:
+    def keys_missing(self) -> None:
         """Request keys from their predecessors."""
 
-    def map_wanted(self) -> None:
+    def map_outdated(self) -> None:
         """Fetch the key map: the target has seen a newer one than this daemon."""
 
 
-class TargetSide:
+class LocalTarget:
     """Manages the local target: heartbeats, key grants, slots and requests."""
 
     def __init__(
@@ -97,7 +104,7 @@
         self._dialect = dialect
         self._log = log
         self._client = client
-        self._grant_manager = GrantKeeper(settings.service, boot_time(), settings.holds)
+        self._grant_manager = GrantManager(settings.service, boot_time(), settings.holds)
         self._slots = TargetSlots(settings.overload, link)
         self._counter = KeyCounter()
         self._link = link
@@ -105,8 +112,8 @@
         self._parked = ParkedRequests()
         self._guard = guard
         self._termination = TerminationDetector(client, self._target_listening, self._target_ended)
-        self._delivery = self._make_delivery(settings.grant_way, grants)
-        self._incarnations = BeatClock()
+        self._delivery = self._make_delivery(settings.grant_mode, grants)
+        self._incarnations = IncarnationTracker()
         self._info: TargetInfo | None = None
         self._keyed = False
         self._drained_since: float | None = None
@@ -120,8 +127,8 @@
         self._unreadable: set[str] = set()
         """Ids whose unreadable heartbeats have been logged; each is logged once."""
 
-    def _make_delivery(self, mode: GrantWay, grants: GrantPort) -> GrantDelivery:
-        if mode is GrantWay.CALL:
+    def _make_delivery(self, mode: GrantMode, grants: GrantPort) -> GrantDelivery:
+        if mode is GrantMode.CALL:
             return CallDelivery(
                 self._reactor, self._grant_manager, grants, self._log, self._parked.admit,
                 self._keys_released, self._map_outdated, self._other_target_found,
@@ -138,7 +145,7 @@
         return self._client
 
     @property
-    def keeper(self) -> GrantKeeper:
+    def grant_manager(self) -> GrantManager:
         """Manager of the keys that are granted to the target."""
         return self._grant_manager
 
@@ -184,97 +191,109 @@
 
     # -- heartbeats -------------------------------------------------------------------
 
-    def beat(self, beat: TargetBeat) -> "Deferred[BeatAnswer]":
+    def target_heartbeat(self, target_heartbeat: TargetHeartbeat) -> "Deferred[HeartbeatResponse]":
         """Process a heartbeat; its response may be delayed until the target's keys change."""
         now = boot_time()
-        if beat.service != self._settings.service:
-            self.unreadable_beat(beat.target, f"service {beat.service!r} does not run here")
-            return succeed(BeatAnswer())
-        told = self._settings.grant_way is GrantWay.HEARTBEAT
-        sign = BeatSign(beat.target, beat.born_ms, beat.sequence, told and not beat.held)
+        if target_heartbeat.service != self._settings.service:
+            self.log_invalid_heartbeat(
+                target_heartbeat.target, f"service {target_heartbeat.service!r} does not run here"
+            )
+            return succeed(HeartbeatResponse())
+        told = self._settings.grant_mode is GrantMode.HEARTBEAT
+        sign = HeartbeatIdentity(
+            target_heartbeat.target,
+            target_heartbeat.started_ms,
+            target_heartbeat.sequence,
+            told and not target_heartbeat.held,
+        )
         incarnation = self._incarnations.incarnation_of(sign, now, round(unix_time() * MS_PER_S))
         if incarnation is None:
-            return succeed(BeatAnswer())
-        beat = replace(beat, target=incarnation)
-        if self._grant_manager.has_ended(beat.target) or self._is_stale(beat, now):
-            self._log.decided(
-                "late_heartbeat_ignored", target=beat.target, sequence=beat.sequence,
-                present=self._grant_manager.target, heard_s=round(now - self._incarnations.last, 3),
+            return succeed(HeartbeatResponse())
+        target_heartbeat = replace(target_heartbeat, target=incarnation)
+        if self._grant_manager.has_ended(target_heartbeat.target) or self._is_stale(
+            target_heartbeat, now
+        ):
+            self._log.emit(
+                "late_heartbeat_ignored", target=target_heartbeat.target,
+                sequence=target_heartbeat.sequence, present=self._grant_manager.target,
+                heard_s=round(now - self._incarnations.last, 3),
             )  # fmt: skip
-            return succeed(BeatAnswer())
+            return succeed(HeartbeatResponse())
         self._incarnations.heard(now)
         self._silent = False
         self._termination.heartbeat_received()
-        if beat.target != self._grant_manager.target:
-            self._begin_incarnation(beat)
-        self._grant_manager.heartbeat(now, beat.held, beat.released)
-        self._slots.cold.told(beat.cold_s, now)
-        self._update_state(beat, now)
-        if beat.released and self._listener is not None:
+        if target_heartbeat.target != self._grant_manager.target:
+            self._begin_incarnation(target_heartbeat)
+        self._grant_manager.heartbeat(now, target_heartbeat.held, target_heartbeat.released)
+        self._slots.cold.set_cold_time(target_heartbeat.cold_s, now)
+        self._update_state(target_heartbeat, now)
+        if target_heartbeat.released and self._listener is not None:
             self._listener.keys_changed()
         response = self._delivery.respond(
-            now, at_once=bool(beat.released) or self._leaving_since is not None
+            now, at_once=bool(target_heartbeat.released) or self._leaving_since is not None
         )
-        self.reconsider()
+        self.update_grants()
         return response
 
-    def unreadable_beat(self, target: str, error: str) -> None:
+    def log_invalid_heartbeat(self, target: str, error: str) -> None:
         """Log an unreadable heartbeat once for each target id; it changes nothing else."""
         if target not in self._unreadable and len(self._unreadable) < MAX_LOGGED_IDS:
             self._unreadable.add(target)
-            self._log.decided("heartbeat_unreadable", failure=True, target=target, error=error)
+            self._log.emit("heartbeat_unreadable", failure=True, target=target, error=error)
 
-    def _is_stale(self, beat: TargetBeat, now: float) -> bool:
+    def _is_stale(self, target_heartbeat: TargetHeartbeat, now: float) -> bool:
         """Return whether a heartbeat is a delayed one of a former target."""
         present = self._grant_manager.target
-        if not present or beat.target == present:
+        if not present or target_heartbeat.target == present:
             return False
-        if target_id(beat.target) == target_id(present):
+        if target_id(target_heartbeat.target) == target_id(present):
             # A later incarnation of this id: those of earlier ones were already filtered out.
             return False
-        return self._incarnations.is_from_the_past(
-            beat.sequence, self._client.open_connections, now
+        return self._incarnations.is_stale(
+            target_heartbeat.sequence, self._client.open_connections, now
         )
 
     def leave(self, leave: TargetLeave) -> None:
         """Mark the target as draining: it announced its end and sends no more heartbeats."""
         if self._info is None or leave.target != target_id(self._info.target):
             return
-        self._log.decided("target_leaves", target=self._info.target, how="without notice")
+        self._log.emit("target_leaves", target=self._info.target, how="without notice")
         if self._leaving_since is None:
             self._leaving_since = boot_time()
         self._publish_state()
 
-    def _begin_incarnation(self, beat: TargetBeat) -> None:
+    def _begin_incarnation(self, target_heartbeat: TargetHeartbeat) -> None:
         former = self._grant_manager.target
         if former:
             self._record_end(former, "heartbeat of its next incarnation")
         self._guard.target_began()
-        same_id = bool(former) and target_id(former) == target_id(beat.target)
-        if same_id and self._incarnations.is_supposed(target_id(beat.target)):
-            self._grant_manager.target_supposed(beat.target, boot_time())
+        same_id = bool(former) and target_id(former) == target_id(target_heartbeat.target)
+        if same_id and self._incarnations.is_presumed(target_id(target_heartbeat.target)):
+            self._grant_manager.target_presumed_replaced(target_heartbeat.target, boot_time())
         else:
-            self._grant_manager.target_changed(beat.target)
+            self._grant_manager.target_changed(target_heartbeat.target)
             if former:
                 self._reported_ended.append(former)
         self._delivery.target_changed()
         self._client.close()
         self._leaving_since = None
-        self._slots.set_slots(beat.slots)
-        self._log.decided(
-            "target_began", target=beat.target, former=former, slots=beat.slots,
-            sequence=beat.sequence,
+        self._slots.set_slots(target_heartbeat.slots)
+        self._log.emit(
+            "target_began", target=target_heartbeat.target, former=former,
+            slots=target_heartbeat.slots, sequence=target_heartbeat.sequence,
         )  # fmt: skip
 
-    def _update_state(self, beat: TargetBeat, now: float) -> None:
+    def _update_state(self, target_heartbeat: TargetHeartbeat, now: float) -> None:
         """Publish the state of the target if a heartbeat changed it."""
-        if beat.state is TargetState.DRAINING and self._leaving_since is None:
-            self._log.decided("target_leaves", target=beat.target, how="draining")
+        if target_heartbeat.state is TargetState.DRAINING and self._leaving_since is None:
+            self._log.emit("target_leaves", target=target_heartbeat.target, how="draining")
             self._leaving_since = now
-        cold_until = unix_time() + beat.cold_s if beat.cold_s > 0.0 else 0.0
-        if self._info is not None and self._info.target == beat.target:
+        cold_until = unix_time() + target_heartbeat.cold_s if target_heartbeat.cold_s > 0.0 else 0.0
+        if self._info is not None and self._info.target == target_heartbeat.target:
             cold_until = _stable_estimate(self._info.cold_until, cold_until)
-        self._publish(TargetInfo(beat.target, beat.slots, self._state(), cold_until))
+        self._publish(
+            TargetInfo(target_heartbeat.target, target_heartbeat.slots, self._state(), cold_until)
+        )
 
     def _state(self) -> TargetState:
         given_up = self._stopping and not self._keyed
@@ -300,13 +319,17 @@
         """
         self._stopping = True
         self._publish_state()
-        self.reconsider()
+        self.update_grants()
 
-    def reconsider(self) -> None:
+    def update_grants(self) -> None:
         """Deliver due grants and releases, request missing keys, re-evaluate parked requests."""
         now = boot_time()
-        keeper = self._grant_manager
-        if keeper.must_let_go(now) or keeper.ready_to_begin(now) or self._stopping:
+        grant_manager = self._grant_manager
+        if (
+            grant_manager.must_release(now)
+            or grant_manager.has_new_grants_ready(now)
+            or self._stopping
+        ):
             self._delivery.deliver()
         self._request_pending(now)
         self._parked.admit_all()
@@ -315,11 +338,11 @@
         """Request keys that predecessors still hold; log the waiting time once all are released."""
         pending = self._grant_manager.pending(now)
         if pending:
-            self._parked.gap.begun(now)
+            self._parked.gap.start(now)
             if self._listener is not None:
-                self._listener.keys_wanted()
-        elif (waited_s := self._parked.gap.ended(now)) is not None:
-            self._log.decided(
+                self._listener.keys_missing()
+        elif (waited_s := self._parked.gap.finish(now)) is not None:
+            self._log.emit(
                 "keys_released_by_others", target=self._grant_manager.target, map=self.map_version,
                 waited_s=round(waited_s, 3), parked=len(self._parked),
             )  # fmt: skip
@@ -343,7 +366,7 @@
         A target without requests may turn cold, and its heartbeat reports this only later.
         """
         if since is None and self._drained_since is not None:
-            self._slots.cold.doubt(boot_time())
+            self._slots.cold.suspect_cold(boot_time())
         self._drained_since = since
 
     def adopt(self, key_map: KeyMap) -> None:
@@ -351,20 +374,22 @@
         if not self._grant_manager.adopt(key_map, boot_time()):
             return
         owned = key_map.owned_by(self._grant_manager.target)
-        self._log.decided(
+        self._log.emit(
             "key_map_adopted", service=key_map.service, version=key_map.version,
             ranges=len(owned), keys=sum(r.size for r in owned),
             pending=len(self._grant_manager.pending(boot_time())),
         )  # fmt: skip
-        self.reconsider()
+        self.update_grants()
         if self._listener is not None:
             self._listener.keys_changed()
 
-    def released_elsewhere(self, predecessor: Predecessor, rows: tuple[ReleasedRow, ...]) -> None:
+    def released_by_predecessor(
+        self, predecessor: Predecessor, rows: tuple[ReleasedRow, ...]
+    ) -> None:
         """Record the release of keys by a predecessor of the local target."""
         for row in rows:
-            self._grant_manager.released(predecessor, row)
-        self.reconsider()
+            self._grant_manager.note_predecessor_released(predecessor, row)
+        self.update_grants()
 
     def _keys_released(self) -> None:
         if self._listener is not None:
@@ -376,12 +401,12 @@
         After a restart of this daemon, a long delayed heartbeat may be accepted as the first
         one; without this record the running target's own would then be rejected as late.
         """
-        if addressed == self._grant_manager.target and self._incarnations.doubt():
-            self._log.decided("other_target_there", failure=True, target=addressed)
+        if addressed == self._grant_manager.target and self._incarnations.note_other_incarnation():
+            self._log.emit("other_target_there", failure=True, target=addressed)
 
     def _map_outdated(self) -> None:
         if self._listener is not None:
-            self._listener.map_wanted()
+            self._listener.map_outdated()
 
     def take_report(self) -> KeyReport:
         """Return the report for the key planner, with the key counts since the last report."""
@@ -397,9 +422,9 @@
             counts=self._counter.take(),
         )
 
-    def former_known(self, targets: list[str]) -> None:
+    def set_former_incarnations(self, targets: list[str]) -> None:
         """Set the incarnations that earlier runs of this daemon served, the newest last."""
-        self._incarnations.former_known(targets)
+        self._incarnations.set_former_incarnations(targets)
 
     def note_ended(self, target: str) -> None:
         """Record that an incarnation served by an earlier run of this daemon has terminated."""
@@ -417,7 +442,7 @@
             self._counter.count(head.position)
         return request
 
-    def barred(self, head: RequestHead) -> Reason | None:
+    def rejection(self, head: RequestHead) -> Reason | None:
         """Return the reason to reject a request now, or None if the target may run it."""
         info = self._info
         if info is None or (head.target and head.target != info.target):
@@ -463,7 +488,7 @@
         """Remove a request from those that wait for their key."""
         self._parked.unpark(request)
 
-    def back_after_s(self, reason: Reason) -> float:
+    def retry_delay_s(self, reason: Reason) -> float:
         """Return the seconds after which the caller of a refused request should retry."""
         if reason is Reason.NOT_READY:
             return self._parked.gap.left_s(boot_time())
@@ -471,20 +496,20 @@
 
     def quarantine_rejection(self, request: TargetRequest) -> QuarantineRejection | None:
         """Return why quarantine rejects a request, or None if the target may run it."""
-        return self._guard.barred(request, self._slots.load().service_s, boot_time())
+        return self._guard.rejection(request, self._slots.load().service_s, boot_time())
 
     def headers(self, head: RequestHead, left_ms: int) -> bytes:
         """Return the header lines for the target."""
         target = self._info.target if self._info is not None else head.target
         return self._dialect.target_headers(head.headers, target, head.caller_service, left_ms)
 
-    def named(self, headers: bytes) -> bytes:
+    def content_identity(self, headers: bytes) -> bytes:
         """Return the header lines that, with the path, identify the content of a request."""
-        return self._dialect.named(headers)
+        return self._dialect.content_identity(headers)
 
-    def facts(self, headers: bytes) -> AnswerFacts:
+    def facts(self, headers: bytes) -> ResponseFacts:
         """Parse the headers of a response of the target."""
-        facts = self._dialect.answer_facts(headers)
+        facts = self._dialect.response_facts(headers)
         if facts.load is not None and facts.load.slowness is not None:
             self._slowness = facts.load.slowness
         return facts
@@ -492,7 +517,7 @@
     def sent(self, head: RequestHead, left_ms: int) -> None:
         """Record that a request is sent to the target."""
         self._slots.cold.sent(boot_time())
-        self._log.decided(
+        self._log.emit(
             "sent_to_target", id=_text(head.request_id), target=head.target, left_ms=left_ms,
             running=self._slots.running, waiting=self._slots.waiting, map=self.map_version,
         )  # fmt: skip
@@ -511,7 +536,7 @@
         content = self._guard.ended(request, _text(head.request_id), outcome, reason, boot_time())
         if outcome is Outcome.SERVED:
             return
-        self._log.decided(
+        self._log.emit(
             "not_served_here", failure=True, id=_text(head.request_id),
             outcome=outcome.value, reason=reason.value if reason else "", detail=detail,
             ms=round(took_s * 1000), running=self._slots.running,
@@ -525,25 +550,25 @@
         """Record a failed connection attempt to the target."""
         if error.refused and self._termination.refused():
             # The process that listens on this port next will have just started.
-            self._slots.cold.doubt(boot_time())
+            self._slots.cold.suspect_cold(boot_time())
 
     def _watch_target(self) -> None:
         """Check for silence, and probe a target that drains or had a connection fail."""
         self._reactor.callLater(END_CHECK_S, self._watch_target)
         now = boot_time()
-        self._reported_ended.extend(self._grant_manager.ended_by(now))
+        self._reported_ended.extend(self._grant_manager.take_expired_incarnations(now))
         info = self._info
         if info is None:
             return
         if not self._silent and now - self._incarnations.last > HEARTBEAT_TIMEOUT_S:
-            self._log.decided(
+            self._log.emit(
                 "target_silent", target=info.target, heard_s=round(now - self._incarnations.last, 3)
             )
             self._silent = True
             self._publish_state()
         leaving = self._leaving_since
         overdue = leaving is not None and now > leaving + self._settings.drain_s
-        self._termination.check(suspected=overdue or self._guard.doubts_target)
+        self._termination.check(suspected=overdue or self._guard.target_suspected)
 
     def _target_listening(self) -> None:
         """Record that the target's port accepts connections: the target is running."""
@@ -566,7 +591,7 @@
             return
         target = self._grant_manager.target
         self._record_end(target, "its port refuses")
-        self._log.decided("target_ended", target=target, shown_by="its port refuses")
+        self._log.emit("target_ended", target=target, shown_by="its port refuses")
         self._leaving_since = None
         self._grant_manager.target_ended()
         self._reported_ended.append(target)
--- a/packages/daemon/src/pearward_daemon/mesh/log.py
+++ b/packages/daemon/src/pearward_daemon/mesh/log.py
@@ -35,7 +35,7 @@
         """Number of lines over the limit that were not reported yet."""
         return self._dropped
 
-    def decided(self, event_name: str, *, failure: bool = False, **fields: Any) -> None:
+    def emit(self, event_name: str, *, failure: bool = False, **fields: Any) -> None:
         """Write a line for an event, with the inputs that led to it and their age."""
         second = int(self._now())
         if second != self._second:
--- a/packages/daemon/src/pearward_daemon/mesh/member_feed.py
+++ b/packages/daemon/src/pearward_daemon/mesh/member_feed.py
@@ -91,7 +91,7 @@
     @property
     def is_watcher(self) -> bool:
         """Whether this daemon follows the store itself."""
-        return self._watchers.has_own
+        return self._watchers.reads_store
 
     @property
     def _is_current(self) -> bool:
@@ -121,9 +121,9 @@
         if watching != self._was_watcher:
             self._was_watcher = watching
             members = len(self._directory.registered)
-            self._log.decided("watching", follows_store=watching, members=members, after=after)
+            self._log.emit("watching", follows_store=watching, members=members, after=after)
         if not watching or not self._available:
-            for watcher in self._watchers.to_ask(boot_time()):
+            for watcher in self._watchers.query_order(boot_time()):
                 reply = await self._query_watcher(watcher, after)
                 if reply is not None:
                     return self._record(after, reply)
@@ -164,10 +164,12 @@
         if timer.active():
             timer.cancel()
         if reply is not None:
-            self._drains.told(DomainDrains(reply.drains_revision, frozenset(reply.drained)))
+            self._drains.peer_reported(
+                DomainDrains(reply.drains_revision, frozenset(reply.drained))
+            )
         if reply is None or not reply.follows:
-            self._watchers.silent(watcher.instance, boot_time())
-            self._log.decided(
+            self._watchers.note_silent(watcher.instance, boot_time())
+            self._log.emit(
                 "watcher_passed_over", instance=watcher.instance, after=after,
                 why="no answer" if reply is None else "it does not follow the store",
             )  # fmt: skip
@@ -181,7 +183,7 @@
         if pending_reply is not None:
             pending_reply.callback(None)
 
-    def told(self, message: TellChanges) -> None:
+    def reply_received(self, message: TellChanges) -> None:
         """Process a watcher's reply; one that arrives too late is dropped."""
         pending_reply = self._awaited_replies.pop(message.nonce, None)
         if pending_reply is not None:
@@ -189,7 +191,7 @@
 
     # -- queries from other daemons -----------------------------------------------------
 
-    def asked(self, sender: PeerId, query: AskChanges) -> None:
+    def query_received(self, sender: PeerId, query: AskChanges) -> None:
         """Process a daemon's query for changes; the reply is sent with the next change."""
         waiting = _PendingQuery(sender, query.nonce, query.after, boot_time())
         self._pending_queries.append(waiting)
--- a/packages/daemon/src/pearward_daemon/mesh/own_entry.py
+++ b/packages/daemon/src/pearward_daemon/mesh/own_entry.py
@@ -69,20 +69,20 @@
         if self._lease and not self._writing:
             self._run(self.write())
 
-    async def under_lease(self, lease: int) -> None:
+    async def write_under_lease(self, lease: int) -> None:
         """Write the entry under a new lease."""
         self._lease = lease
         self._written = None
         await self.write()
 
-    def lease_gone(self) -> None:
+    def lease_expired(self) -> None:
         """Record that the lease expired, and the entry with it."""
         self._lease = 0
         self._written = None
 
-    def store_went_back(self) -> None:
+    def store_restored(self) -> None:
         """Write all entries again under the next lease: the restored store may have lost them."""
-        self.lease_gone()
+        self.lease_expired()
         self._holder_written = ""
         self._written_at = 0
 
@@ -100,7 +100,7 @@
                 await self._write_once(self._member, self._lease)
         except LeaseGone:
             # The renewal detects this as well, and starts a new lease.
-            self._log.decided("entry_refused", failure=True, lease=self._lease)
+            self._log.emit("entry_refused", failure=True, lease=self._lease)
         except PlatformError as error:
             self._on_failed(error)
         finally:
@@ -118,17 +118,15 @@
         self._written = member
         if len(puts) > 1:
             self._holder_written = member.target
-        self._log.decided(
-            "entry_written", target=member.target, state=member.state.value, lease=lease
-        )
+        self._log.emit("entry_written", target=member.target, state=member.state.value, lease=lease)
 
     # -- changes in the store ------------------------------------------------------
 
-    def gone(self) -> None:
+    def entry_missing(self) -> None:
         """Write the entry again: it is missing although the lease may be valid."""
         if self._written is None or self._stopped:
             return
-        self._log.decided("entry_gone", failure=True, lease=self._lease)
+        self._log.emit("entry_gone", failure=True, lease=self._lease)
         self._written = None
         self._write_soon()
 
@@ -142,11 +140,11 @@
             return False
         if item.value == encode_member(written):
             return False
-        self._log.decided(
+        self._log.emit(
             "entry_unreadable",
             failure=True,
             key=item.key,
             error="value differs from what this daemon wrote",
         )
-        self.gone()
+        self.entry_missing()
         return True
--- a/packages/daemon/src/pearward_daemon/mesh/paced_stream.py
+++ b/packages/daemon/src/pearward_daemon/mesh/paced_stream.py
@@ -143,7 +143,7 @@
         del self._buffer[: len(chunk)]
         ticket.unsent = len(self._buffer)
         ticket.remaining -= len(chunk)
-        ticket.begun = True
+        ticket.started = True
         last = ticket.ended and not self._buffer
         ticket.blocked = not super().send_data(chunk, ended=last)
         if last:
--- a/packages/daemon/src/pearward_daemon/mesh/parked_requests.py
+++ b/packages/daemon/src/pearward_daemon/mesh/parked_requests.py
@@ -2,7 +2,7 @@
 
 from typing import Protocol
 
-from pearward_coordination.overload.key_gap import KeyGap
+from pearward_coordination.overload.handover_wait import HandoverWait
 
 __all__ = ["ParkedRequest", "ParkedRequests"]
 
@@ -26,26 +26,26 @@
 
     def __init__(self) -> None:
         self._waiting: dict[ParkedRequest, None] = {}
-        self._gap = KeyGap()
+        self._gap = HandoverWait()
 
     def __len__(self) -> int:
         return len(self._waiting)
 
     @property
-    def gap(self) -> KeyGap:
+    def gap(self) -> HandoverWait:
         """Durations of the handovers of keys to the target."""
         return self._gap
 
     def park(
-        self, request: ParkedRequest, deadline_left_s: float, runs_s: float, now: float
+        self, request: ParkedRequest, deadline_left_s: float, running_s: float, now: float
     ) -> float:
         """Park a request until its key is granted; return the maximum wait in s, 0 if refused."""
         if len(self._waiting) >= PARKED_LIMIT:
             return 0.0
-        patience_s = self._gap.patience_s(deadline_left_s, runs_s, now)
-        if patience_s > 0.0:
+        max_wait_s = self._gap.max_wait_s(deadline_left_s, running_s, now)
+        if max_wait_s > 0.0:
             self._waiting[request] = None
-        return patience_s
+        return max_wait_s
 
     def unpark(self, request: ParkedRequest) -> None:
         """Remove a request that no longer waits for its key."""
--- a/packages/daemon/src/pearward_daemon/mesh/request_body.py
+++ b/packages/daemon/src/pearward_daemon/mesh/request_body.py
@@ -2,12 +2,12 @@
 
 from dataclasses import dataclass
 
-from pearward_coordination.content import COUNTED_BODY
-from pearward_protocol.streams import SHORT_BODY
+from pearward_coordination.content import MAX_DIGESTED_BODY
+from pearward_protocol.streams import MAX_INLINE_BODY
 
 __all__ = ["FirstPart", "RequestBody"]
 
-MAX_REPLAYABLE_BYTES = COUNTED_BODY
+MAX_REPLAYABLE_BYTES = MAX_DIGESTED_BODY
 """Maximum length in bytes of a body that is buffered for retries. It equals the limit of the
 content digest, so that a body that the digest covers is complete when it is computed."""
 
@@ -78,6 +78,6 @@
     def first_part(self) -> FirstPart:
         """Return the data to send when an attempt starts; a short body goes with the head."""
         buffered = self.buffered
-        if self._ended and len(buffered) <= SHORT_BODY:
+        if self._ended and len(buffered) <= MAX_INLINE_BODY:
             return FirstPart(buffered, True, b"")
         return FirstPart(b"", False, buffered)
--- a/packages/daemon/src/pearward_daemon/mesh/routed_request.py
+++ b/packages/daemon/src/pearward_daemon/mesh/routed_request.py
@@ -14,8 +14,8 @@
     RequestTimes,
 )
 from pearward_coordination.content import content_digest
-from pearward_coordination.overload.key_shedding import BACK_AFTER_S
-from pearward_coordination.retry import AttemptTally
+from pearward_coordination.overload.key_shedding import RETRY_DELAY_S
+from pearward_coordination.retry import AttemptHistory
 from pearward_protocol.heads import RequestHead, ResponseHead
 from pearward_state.outcome import Outcome, Reason, RequestClass
 from pearward_state.routes import RequestKind, Route
@@ -29,7 +29,7 @@
 from .request_body import RequestBody
 
 if TYPE_CHECKING:
-    from pearward_coordination.selection import IdleOdds
+    from pearward_coordination.selection import FreeSlotOdds
 
     from .ingress import MeshIngress, Placement
 
@@ -75,7 +75,7 @@
         self._body = RequestBody(body_length)
         self._attempt: LocalAttempt | RemoteAttempt | None = None
         self._placement: Placement | None = None
-        self._tally = AttemptTally()
+        self._tally = AttemptHistory()
         age_s = ingress.age_s(route, intent.deadline_ms, self._started)
         objective = self._started - age_s + route.objective_ms / MS_PER_S
         self._plan = AttemptPlan(
@@ -86,7 +86,7 @@
         )
         self._retry_after_s = 0.0
         self._last_reason: Reason | None = None
-        self._idle_probe: IdleOdds | None = None
+        self._idle_probe: FreeSlotOdds | None = None
         """Receives whether the target had a free slot; None if the attempt may be queued."""
         self._shedding_checked = False
         """Whether load shedding was checked; each request counts once for its key."""
@@ -129,7 +129,7 @@
         """Process a chunk of the request's body."""
         if self._done:
             return
-        if self._plan.sent_on:
+        if self._plan.body_consumed:
             if self._attempt is not None and not self._attempt.send_data(data):
                 self._request.pause_body()
             return
@@ -143,7 +143,7 @@
         if self._done:
             return
         self._body.end()
-        if self._plan.sent_on:
+        if self._plan.body_consumed:
             if self._attempt is not None:
                 self._attempt.send_data(b"", ended=True)
         elif self._attempt is None and self._wait_timer is None:
@@ -216,16 +216,16 @@
         self._shedding_checked = True
         if not self._ingress.sheds(self._service, self._key):
             return False
-        self._give_up(Outcome.NOT_RUN, Reason.OVERLOADED, BACK_AFTER_S, detail="key is shed")
+        self._give_up(Outcome.NOT_RUN, Reason.OVERLOADED, RETRY_DELAY_S, detail="key is shed")
         return True
 
     @cached_property
     def _content_digest(self) -> str:
         """The digest of the request's content, which the target's daemon computes alike."""
-        named = self._ingress.named(self._forwarded)
+        content_identity = self._ingress.content_identity(self._forwarded)
         body = self._body
         return content_digest(
-            self._request.method, self._request.uri, named, body.length, body.buffered
+            self._request.method, self._request.uri, content_identity, body.length, body.buffered
         )
 
     @property
@@ -313,7 +313,7 @@
     def _is_idle_only(self, placement: Placement) -> bool:
         """Return whether the target is to refuse the request if it has no free slot now."""
         odds = None if self._keyed else self._ingress.idle_odds(self._service)
-        if odds is None or self._is_last_target(placement) or not odds.worth_asking():
+        if odds is None or self._is_last_target(placement) or not odds.should_probe():
             return False
         self._idle_probe = odds
         return True
@@ -322,12 +322,14 @@
         """Record whether the target had a free slot, if the attempt required one."""
         odds, self._idle_probe = self._idle_probe, None
         if odds is not None:
-            odds.asked(found=found)
+            odds.note_probe(found=found)
 
     def _is_last_target(self, placement: Placement) -> bool:
         """Return whether no other target would be tried if this one refuses."""
         others = self._plan.tried | {placement.target}
-        return self._plan.asks_last or not self._ingress.has_other_target(self._service, others)
+        return self._plan.is_last_slot_request or not self._ingress.has_other_target(
+            self._service, others
+        )
 
     def _open_local(self, placement: Placement) -> None:
         self._note_attempt(placement)
@@ -351,7 +353,7 @@
     def _note_attempt(self, placement: Placement) -> None:
         self._tally.begun()
         placement.attempt_started()
-        self._ingress.log.decided(
+        self._ingress.log.emit(
             "attempt", id=self._id, number=self._tally.number, service=self._service,
             target=placement.target, key=self._key, map=placement.map_version,
             left_ms=round((self._deadline - boot_time()) * MS_PER_S),
@@ -362,7 +364,7 @@
         if self._done or self._attempt is not attempt:
             return
         if not self._body.ended:
-            self._plan.sent_on = True
+            self._plan.body_consumed = True
             self._body.streaming_started()
         if rest:
             attempt.send_data(rest, ended=self._body.ended)
@@ -401,7 +403,7 @@
         self._ingress.exchange_completed(
             self._route, self._body.size + len(head.headers) + max(0, head.body_length)
         )
-        headers = self._ingress.answer_headers(head.headers)
+        headers = self._ingress.response_headers(head.headers)
         if ended:
             self._end_attempt()
             self._request.answer_whole(head.status, headers, body)
@@ -454,7 +456,7 @@
         reason = head.reason or Reason.SERVER_FAILED
         self._ingress.map_version_seen(self._service, head.version, self._placement)
         if reason is Reason.DRAINING:
-            self._ingress.directory.refused(self._placement.target)
+            self._ingress.directory.note_refused(self._placement.target)
         if reason is Reason.OVERLOADED and self._key is not None:
             self._ingress.key_refused(self._service, self._key)
         self._failed(head.outcome, reason, head.retry_after_ms / MS_PER_S, head.detail)
@@ -490,7 +492,7 @@
         self._last_reason = reason
         self._retry_after_s = retry_after_s
         again = self._should_retry(outcome, reason, target)
-        self._ingress.log.decided(
+        self._ingress.log.emit(
             "attempt_failed", failure=True, id=self._id, target=target, outcome=outcome.value,
             reason=reason.value, detail=detail, again=again,
             left_ms=round((self._deadline - boot_time()) * MS_PER_S),
@@ -579,7 +581,7 @@
         self._cancel_deadline_timer()
         self._cancel_wait_timer()
         self._ingress.request_finished(self, how, status, boot_time() - self._started)
-        self._ingress.log.decided(
+        self._ingress.log.emit(
             how, failure=how != "answered", id=self._id, route=self._route.name,
             service=self._service, status=status, reason=reason.value if reason else "",
             detail=detail, attempts=self._tally.number,
--- a/packages/daemon/src/pearward_daemon/mesh/settings.py
+++ b/packages/daemon/src/pearward_daemon/mesh/settings.py
@@ -10,14 +10,14 @@
 from pearward_coordination.grants import HOLD_S, LEASE_S, RENEW_S, GrantTiming
 from pearward_coordination.lease import LeaseTiming
 from pearward_coordination.overload.policy import Mechanism, OverloadPolicy
-from pearward_coordination.quarantine import LONGEST_S, REFUSED_AFTER, QuarantineRule
+from pearward_coordination.quarantine import MAX_QUARANTINE_S, REFUSED_AFTER, QuarantineRule
 from pearward_coordination.retry_window import RetryRule
 from pearward_state.errors import InvalidField
 from pearward_state.fields import FieldReader
 
 from ..errors import SettingsError
 
-__all__ = ["Address", "GrantWay", "MeshSettings", "StoreSettings"]
+__all__ = ["Address", "GrantMode", "MeshSettings", "StoreSettings"]
 
 LEASE_TTL_S = 3.0
 """Time to live in s of a daemon's lease, with which its entry expires. Peers detect a failed
@@ -39,7 +39,7 @@
 """Log lines per second; further ones are only counted. A busy daemon handles 60 requests/s."""
 
 
-class GrantWay(StrEnum):
+class GrantMode(StrEnum):
     """The mechanism by which keys are granted to targets."""
 
     HEARTBEAT = "heartbeat"
@@ -87,7 +87,7 @@
     """Address at which other daemons reach *peers*; differs only behind a proxy or the like."""
     metrics: Address
     store: StoreSettings
-    grant_way: GrantWay
+    grant_mode: GrantMode
     """The mechanism by which keys are granted to the local target."""
     holds: GrantTiming
     silent_s: float
@@ -147,7 +147,7 @@
             peers_reached_at=_address(listen, "peers_reached_at", str(peers)),
             metrics=_address(listen, "metrics"),
             store=_store(root.section("store")),
-            grant_way=root.choice("grants", GrantWay, GrantWay.HEARTBEAT),
+            grant_mode=root.choice("grants", GrantMode, GrantMode.HEARTBEAT),
             holds=_holds(root.section("holds")),
             silent_s=limits.number("silent_ms", REPORT_TIMEOUT_S * 1000, low=500) / 1000,
             retries=_retries(root.section("retries")),
@@ -227,7 +227,7 @@
 def _quarantine(reader: FieldReader) -> QuarantineRule:
     rule = QuarantineRule(
         refused_after=reader.integer("refused_after", REFUSED_AFTER, low=0, high=100),
-        lasts_s=reader.number("lasts_s", LONGEST_S, low=10.0, high=LONGEST_S),
+        lasts_s=reader.number("lasts_s", MAX_QUARANTINE_S, low=10.0, high=MAX_QUARANTINE_S),
     )
     reader.finish()
     return rule
--- a/packages/daemon/src/pearward_daemon/mesh/store_session.py
+++ b/packages/daemon/src/pearward_daemon/mesh/store_session.py
@@ -168,7 +168,7 @@
     def _run(self, work: Coroutine[Any, Any, None]) -> None:
         """Run a coroutine, and log an unexpected exception."""
         Deferred.fromCoroutine(work).addErrback(
-            lambda failure: self._log.decided(
+            lambda failure: self._log.emit(
                 "store_loop_failed", failure=True, error=failure.getTraceback()[-2000:]
             )
         )
@@ -177,11 +177,11 @@
         if not self._lease:
             return
         lease, self._lease = self._lease, 0
-        self._own_entry.lease_gone()
+        self._own_entry.lease_expired()
         try:
             await self._store.revoke(lease)
         except PlatformError as error:
-            self._log.decided("lease_not_ended", failure=True, lease=lease, error=str(error))
+            self._log.emit("lease_not_ended", failure=True, lease=lease, error=str(error))
 
     # -- the lease ------------------------------------------------------------------
 
@@ -208,16 +208,16 @@
     async def _renew(self) -> None:
         lease = self._lease
         if not await self._store.keep_alive(lease):
-            self._log.decided("lease_lost", failure=True, lease=lease)
+            self._log.emit("lease_lost", failure=True, lease=lease)
             self._lease = 0
-            self._own_entry.lease_gone()
+            self._own_entry.lease_expired()
             return
         await self._own_entry.write()
 
     async def _create_lease(self) -> None:
         self._lease = await self._store.grant_lease(self._settings.store.lease_ttl_s)
-        self._log.decided("lease_begun", lease=self._lease)
-        await self._own_entry.under_lease(self._lease)
+        self._log.emit("lease_begun", lease=self._lease)
+        await self._own_entry.write_under_lease(self._lease)
 
     # -- entries ------------------------------------------------------------------------
 
@@ -264,7 +264,7 @@
 
     def _unreadable(self, key: str, error: str) -> None:
         """Log an entry that cannot be used; the other entries remain valid."""
-        self._log.decided("entry_unreadable", failure=True, key=key, error=error)
+        self._log.emit("entry_unreadable", failure=True, key=key, error=error)
 
     # -- watches ---------------------------------------------------------------------------
 
@@ -308,12 +308,12 @@
             self._listener.members_read(self._decoded_members(members))
             own = next((item for item in members if item.key == self._own_entry.key), None)
             if own is None:
-                self._own_entry.gone()
+                self._own_entry.entry_missing()
             else:
                 self._own_entry.seen(own)
             maps = [i for i in snapshot.items if i.key.startswith(KEY_MAPS)]
             key_maps = self._decoded(maps, decode_key_map)
-            self._log.decided(
+            self._log.emit(
                 "store_read", revision=snapshot.revision, era=self._store.era,
                 members=len(members), key_maps={m.service: m.version for m in key_maps},
             )  # fmt: skip
@@ -329,7 +329,7 @@
             if event.value is None:
                 self._listener.member_gone(event.key.removeprefix(MEMBERS))
                 if event.key == self._own_entry.key:
-                    self._own_entry.gone()
+                    self._own_entry.entry_missing()
                 return
             item = KeyValue(event.key, event.value, event.revision)
             if item.key == self._own_entry.key and self._own_entry.seen(item):
@@ -391,13 +391,13 @@
                 retry_s = FIRST_RETRY_S
                 await sleep(self._reactor, batch_delay() if changes.events else 0.0)
             except HistoryGone:
-                self._log.decided("store_history_gone", after=after)
+                self._log.emit("store_history_gone", after=after)
                 self._check_era()
                 after = None
             except PlatformError as error:
                 # The next call continues after the last revision: changes missed meanwhile are
                 # returned, or HistoryGone is raised if the store has compacted them.
-                self._log.decided("watch_cut", after=after, error=str(error))
+                self._log.emit("watch_cut", after=after, error=str(error))
                 if not self._available and not (fed_by_peers and after is not None):
                     # The lease loop keeps calling, and restarts the watches on the first success.
                     return
@@ -416,14 +416,14 @@
         if before == self._era:
             return
         if before is None:
-            self._log.decided("store_era", era=self._era)
+            self._log.emit("store_era", era=self._era)
             return
         # Lease ids may be reused after a restore: this one possibly is another daemon's now.
         self._lease = 0
-        self._own_entry.store_went_back()
-        crashes = self._crashes.store_went_back()
+        self._own_entry.store_restored()
+        crashes = self._crashes.store_restored()
         self._rollbacks += 1
-        self._log.decided(
+        self._log.emit(
             "store_went_back", failure=True, era=self._era, before=before,
             crashes_written=crashes,
         )  # fmt: skip
@@ -435,7 +435,7 @@
         if not self._available:
             self._available = True
             self._feed.set_store_available(True)
-            self._log.decided("store_regained", lease=self._lease)
+            self._log.emit("store_regained", lease=self._lease)
             self._listener.store_availability_changed(boot_time())
             # Watches on connections that failed silently would continue to wait.
             self._start_watches()
@@ -444,5 +444,5 @@
         if self._available:
             self._available = False
             self._feed.set_store_available(False)
-            self._log.decided("store_lost", failure=True, error=str(error))
+            self._log.emit("store_lost", failure=True, error=str(error))
             self._listener.store_availability_changed(None)
--- a/packages/daemon/src/pearward_daemon/mesh/target_lease.py
+++ b/packages/daemon/src/pearward_daemon/mesh/target_lease.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 
 from pearward_coordination.directory import Directory
-from pearward_coordination.grants import GrantKeeper, GrantTiming, ReleasedRow
+from pearward_coordination.grants import GrantManager, GrantTiming, ReleasedRow
 from pearward_coordination.lease import OwnerLease, majority
 from pearward_coordination.messages import (
     AskRelease,
@@ -25,7 +25,7 @@
 from .key_maps import KeyMaps
 from .log import DecisionLog
 
-__all__ = ["TargetLease", "Witnesses"]
+__all__ = ["LocalWitness", "TargetLease"]
 
 QUERY_DELAY_S = 0.5
 """Seconds without a release by the former owner's daemon before its witnesses are queried."""
@@ -33,7 +33,7 @@
 Send = Callable[[str, ControlMessage], None]
 
 
-class Witnesses:
+class LocalWitness:
     """Serves this instance's role as a witness, with one record for each service."""
 
     def __init__(self, timing: GrantTiming, key_maps: KeyMaps) -> None:
@@ -79,17 +79,17 @@
         instance: str,
         service: str,
         timing: GrantTiming,
-        keeper: GrantKeeper,
+        grant_manager: GrantManager,
         key_maps: KeyMaps,
         directory: Directory,
-        witnesses: Witnesses,
+        witnesses: LocalWitness,
         log: DecisionLog,
         send: Send,
     ) -> None:
         self._instance = instance
         self._service = service
         self._timing = timing
-        self._grant_manager = keeper
+        self._grant_manager = grant_manager
         self._maps = key_maps
         self._directory = directory
         self._witnesses = witnesses
@@ -132,7 +132,7 @@
         if current != self._witness_set:
             self._witness_set = current
             self._lease.set_witnesses([current], now)
-            self._grant_manager.lease_until(self._lease.valid_until)
+            self._grant_manager.set_lease_end(self._lease.valid_until)
 
     def renewed(self, sender: PeerId, reply: RenewReply) -> bool:
         """Process a witness's renewal reply; return whether the lease was regained by it."""
@@ -145,7 +145,7 @@
     def _count_renewal(self, name: str, reply: RenewReply, now: float) -> None:
         if reply.granted:
             self._lease.renewal_granted(name, reply.nonce, now)
-            self._grant_manager.lease_until(self._lease.valid_until)
+            self._grant_manager.set_lease_end(self._lease.valid_until)
 
     def _update_held(self, now: float) -> bool:
         """Log a change of the lease's state; return whether the lease was regained."""
@@ -153,7 +153,7 @@
         if held == self._held:
             return False
         self._held = held
-        self._log.decided(
+        self._log.emit(
             "lease_held" if held else "lease_run_out", failure=not held, target=self._target,
             witnesses=list(self._witness_set), ends_in_s=round(self._lease.valid_until - now, 3)
             if held else 0.0,
@@ -169,7 +169,7 @@
 
     # -- releases by predecessors ------------------------------------------------------
 
-    def ask_releases(self) -> None:
+    def query_releases(self) -> None:
         """Query the witnesses of predecessors whose keys have been pending for QUERY_DELAY_S."""
         now = boot_time()
         key_map = self._maps.of(self._service)
@@ -226,10 +226,12 @@
             for predecessor in pending.predecessors:
                 if predecessor.target == target:
                     row = ReleasedRow(pending.first, pending.last, "")
-                    self._grant_manager.released(Predecessor(target, predecessor.fence), row)
+                    self._grant_manager.note_predecessor_released(
+                        Predecessor(target, predecessor.fence), row
+                    )
                     confirmed += 1
         if confirmed:
-            self._log.decided(
+            self._log.emit(
                 "released_by_witnesses", former=target, map=key_map.version, ranges=confirmed
             )
         return confirmed > 0
--- a/packages/daemon/src/pearward_daemon/mesh/target_request.py
+++ b/packages/daemon/src/pearward_daemon/mesh/target_request.py
@@ -8,25 +8,25 @@
 
 from twisted.python.failure import Failure
 
-from pearward_coordination.content import COUNTED_BODY, content_digest
+from pearward_coordination.content import MAX_DIGESTED_BODY, content_digest
 from pearward_coordination.slots import Refused, SlotTicket
 from pearward_protocol.heads import RequestHead, ResponseHead
-from pearward_protocol.streams import SHORT_BODY, ResetCode
+from pearward_protocol.streams import MAX_INLINE_BODY, ResetCode
 from pearward_state.outcome import Outcome, Reason, RequestClass
 from pearward_transport.clock import boot_time
 from pearward_transport.errors import ServerUnreachable
 from pearward_transport.server_connection import ServerConnection
 
 from ..exchange import ReplySink, refusal
-from .dialect import AnswerFacts
+from .dialect import ResponseFacts
 
 if TYPE_CHECKING:
-    from .target_side import TargetSide
+    from .local_target import LocalTarget
 
 __all__ = ["TargetRequest"]
 
 MS_PER_S = 1000
-BUFFERED_BODY = COUNTED_BODY
+BUFFERED_BODY = MAX_DIGESTED_BODY
 """Maximum length in bytes of a request body that is received completely before it is sent."""
 BUFFERED_RESPONSE = 65_536
 """Maximum length in bytes of a response that is forwarded only once it is complete."""
@@ -40,7 +40,7 @@
 
     def __init__(
         self,
-        local_target: TargetSide,
+        local_target: LocalTarget,
         head: RequestHead,
         ended: bool,
         body: bytes,
@@ -65,7 +65,7 @@
         self._done = False
         self._buffered_head: ResponseHead | None = None
         self._buffered_body: list[bytes] = []
-        self._facts: AnswerFacts | None = None
+        self._facts: ResponseFacts | None = None
         """Parsed headers of the current response, set by accepts()."""
         self._rejection_reason: Reason | None = None
         """Why the current response will not be forwarded; None if it will be."""
@@ -88,9 +88,9 @@
     def content(self) -> str:
         """Digest of what the request asks for, the same for every request id."""
         head = self._head
-        named = self._local_target.named(head.headers)
+        content_identity = self._local_target.content_identity(head.headers)
         body = self._sent_body or b"".join(self._body)
-        return content_digest(head.method, head.path, named, head.body_length, body)
+        return content_digest(head.method, head.path, content_identity, head.body_length, body)
 
     @property
     def needs_link(self) -> bool:
@@ -121,11 +121,11 @@
         """Check whether the target may run the request now, then request a slot."""
         if self._done:
             return
-        barred = self._local_target.barred(self._head)
-        if barred is Reason.NOT_READY and self._park():
+        rejection = self._local_target.rejection(self._head)
+        if rejection is Reason.NOT_READY and self._park():
             return
-        if barred is not None:
-            self._refuse(barred, retry_after_s=self._local_target.back_after_s(barred))
+        if rejection is not None:
+            self._refuse(rejection, retry_after_s=self._local_target.retry_delay_s(rejection))
             return
         self._cancel_wait()
         if self._ticket is not None:
@@ -149,16 +149,16 @@
             self.start()
         else:
             self._wait_timer = self._local_target.call_later(
-                self._local_target.slots.patience_s(ticket), self._queue_wait_expired
+                self._local_target.slots.max_wait_s(ticket), self._queue_wait_expired
             )
 
     def _park(self) -> bool:
         """Wait for the key; return False if it will not be granted in time."""
-        patience_s = self._local_target.park(self, self._deadline - boot_time())
-        if patience_s <= 0.0:
+        max_wait_s = self._local_target.park(self, self._deadline - boot_time())
+        if max_wait_s <= 0.0:
             return False
         if self._wait_timer is None:
-            self._wait_timer = self._local_target.call_later(patience_s, self._key_wait_expired)
+            self._wait_timer = self._local_target.call_later(max_wait_s, self._key_wait_expired)
         return True
 
     def _key_wait_expired(self) -> None:
@@ -166,7 +166,7 @@
         self._wait_timer = None
         if not self._done and self._ticket is None:
             self._refuse(
-                Reason.NOT_READY, retry_after_s=self._local_target.back_after_s(Reason.NOT_READY)
+                Reason.NOT_READY, retry_after_s=self._local_target.retry_delay_s(Reason.NOT_READY)
             )
 
     def _queue_wait_expired(self) -> None:
@@ -181,8 +181,8 @@
     def start(self) -> None:
         """Use the granted slot: get a connection if the target may still run the request."""
         self._cancel_wait()
-        barred = self._local_target.barred(self._head)
-        if barred is not None:
+        rejection = self._local_target.rejection(self._head)
+        if rejection is not None:
             self._release_slot()
             self._ticket = None
             self.admit()
@@ -197,19 +197,19 @@
 
     def _refused_as_cold(self) -> bool:
         """Refuse the request if the target is cold and its current capacity is used up."""
-        room_in_s = self._local_target.slots.cold.room_in_s(boot_time())
-        if room_in_s > 0.0:
-            self._refuse(Reason.OVERLOADED, detail="target is cold", retry_after_s=room_in_s)
-        return room_in_s > 0.0
+        capacity_in_s = self._local_target.slots.cold.capacity_in_s(boot_time())
+        if capacity_in_s > 0.0:
+            self._refuse(Reason.OVERLOADED, detail="target is cold", retry_after_s=capacity_in_s)
+        return capacity_in_s > 0.0
 
     def _refused_by_crashes(self) -> bool:
         """Refuse the request if it is quarantined: targets crashed while they ran its content."""
-        barred = self._local_target.quarantine_rejection(self)
-        if barred is not None:
+        rejection = self._local_target.quarantine_rejection(self)
+        if rejection is not None:
             self._refuse(
-                Reason.QUARANTINED, detail=barred.detail, retry_after_s=barred.back_after_s
+                Reason.QUARANTINED, detail=rejection.detail, retry_after_s=rejection.retry_delay_s
             )
-        return barred is not None
+        return rejection is not None
 
     def waited_too_long(self) -> None:
         """Refuse the request: it could no longer be answered before its deadline."""
@@ -221,10 +221,10 @@
         if self._done:
             connection.abort()
             return
-        barred = self._local_target.barred(self._head)
-        if barred is not None:
+        rejection = self._local_target.rejection(self._head)
+        if rejection is not None:
             connection.abort()
-            self._refuse(barred, retry_after_s=self._local_target.back_after_s(barred))
+            self._refuse(rejection, retry_after_s=self._local_target.retry_delay_s(rejection))
             return
         if self._refused_as_cold() or self._refused_by_crashes():
             connection.abort()
@@ -381,7 +381,7 @@
 
     def _send_whole(self, head: ResponseHead, body: bytes) -> None:
         complete = replace(head, body_length=len(body))
-        if len(body) <= SHORT_BODY:
+        if len(body) <= MAX_INLINE_BODY:
             self._reply.respond(complete, ended=True, body=body)
         else:
             self._reply.respond(complete, ended=False)
@@ -391,7 +391,7 @@
         """Report a complete response that cannot be forwarded to the caller."""
         if verdict is Reason.TARGET_REFUSED:
             self._sent = False
-            self._refuse(verdict, retry_after_s=self._local_target.back_after_s(verdict))
+            self._refuse(verdict, retry_after_s=self._local_target.retry_delay_s(verdict))
         else:
             self._fail_after_sent(verdict)
 
@@ -469,7 +469,7 @@
         self._local_target.ended(self, outcome, reason, detail, boot_time() - self._arrived)
 
 
-def _rejection_reason(status: int, facts: AnswerFacts) -> Reason | None:
+def _rejection_reason(status: int, facts: ResponseFacts) -> Reason | None:
     """Return why a response cannot be forwarded, or None."""
     if facts.not_run or (facts.other_target and status == 421):
         return Reason.TARGET_REFUSED
@@ -477,7 +477,7 @@
         # Without the header that confirms it, the request may have run despite this status.
         return Reason.TARGET_FAILED
     if not facts.request_id or facts.encoded:
-        return Reason.SPOILT
+        return Reason.INVALID_RESPONSE
     if 200 <= status < 300 and not facts.signed:
-        return Reason.SPOILT
+        return Reason.INVALID_RESPONSE
     return None
--- a/packages/daemon/src/pearward_daemon/mesh/target_slots.py
+++ b/packages/daemon/src/pearward_daemon/mesh/target_slots.py
@@ -76,7 +76,7 @@
         if rate is not None:
             slots = max(1, min(slots, round(rate * service_s)))
         return TargetLoad(
-            queue.running, queue.waiting, slots, service_s, self._link.long_wait_s(now)
+            queue.running, queue.waiting, slots, service_s, self._link.long_response_wait_s(now)
         )
 
     def capacity(self) -> float:
@@ -96,10 +96,10 @@
     def offer(self, user: SlotUser, ticket: SlotTicket) -> bool | Refused:
         """Request a slot: return True if granted now, False if queued, Refused otherwise."""
         now = boot_time()
-        if (room_in_s := self._cold.room_in_s(now)) > 0.0:
-            return Refused(max(room_in_s, self._queue.retry_after(ticket, room_in_s, now)))
-        if user.needs_link and (too_late_s := self._link_too_late_s(user, ticket, now)) > 0.0:
-            return Refused(self._queue.retry_after(ticket, too_late_s, now))
+        if (capacity_in_s := self._cold.capacity_in_s(now)) > 0.0:
+            return Refused(max(capacity_in_s, self._queue.retry_after(ticket, capacity_in_s, now)))
+        if user.needs_link and (lateness_s := self._link_too_late_s(user, ticket, now)) > 0.0:
+            return Refused(self._queue.retry_after(ticket, lateness_s, now))
         offered = self._queue.offer(ticket, now)
         if not isinstance(offered, Refused):
             self._users[ticket] = user
@@ -108,17 +108,17 @@
     def _link_too_late_s(self, user: SlotUser, ticket: SlotTicket, now: float) -> float:
         """Return by how many seconds the link would deliver a long response too late."""
         long_request = LongRequest(
-            runs_s=self._queue.expected_wait(ticket, now) + self._queue.service_s(now),
+            running_s=self._queue.expected_wait(ticket, now) + self._queue.service_s(now),
             objective=ticket.objective,
             deadline=ticket.deadline,
             last_target=user.is_last_target,
         )
         in_progress = sum(1 for other in self._users.values() if other.needs_link)
-        return self._link.too_late_s(long_request, in_progress, now)
+        return self._link.lateness_s(long_request, in_progress, now)
 
-    def patience_s(self, ticket: SlotTicket) -> float:
+    def max_wait_s(self, ticket: SlotTicket) -> float:
         """Return the maximum time in s that a request may wait for a slot."""
-        return self._queue.patience_s(ticket, boot_time())
+        return self._queue.max_wait_s(ticket, boot_time())
 
     def retry_after_s(self, ticket: SlotTicket) -> float:
         """Return the seconds after which the caller of a request without a slot should retry."""
--- a/packages/daemon/src/pearward_daemon/owned_request.py
+++ b/packages/daemon/src/pearward_daemon/owned_request.py
@@ -11,7 +11,7 @@
 from pearward_coordination.ownership import Permit, Verdict
 from pearward_protocol.heads import RequestHead, ResponseHead
 from pearward_protocol.httpmap import HeaderName
-from pearward_protocol.streams import SHORT_BODY, ResetCode
+from pearward_protocol.streams import MAX_INLINE_BODY, ResetCode
 from pearward_state.outcome import Outcome, Reason
 from pearward_transport.clock import boot_time
 from pearward_transport.errors import ServerUnreachable
@@ -176,7 +176,7 @@
         if self._done:
             connection.abort()
             return
-        if not self._owner.still_good(permit):
+        if not self._owner.is_permit_valid(permit):
             connection.abort()
             self._refuse_not_run(Reason.NOT_READY, retry_after_s=NOT_READY_RETRY_S)
             return
@@ -248,7 +248,7 @@
             version=self._owner.record_version,
             body_length=length,
         )
-        if 0 <= length <= SHORT_BODY:
+        if 0 <= length <= MAX_INLINE_BODY:
             self._held_head = head
             return
         self._cancel_timer()
@@ -287,7 +287,7 @@
     def _may_answer(self) -> bool:
         """Return whether the permit still holds; if not, the answer is withheld."""
         assert self._permit is not None
-        if self._owner.still_good(self._permit):
+        if self._owner.is_permit_valid(self._permit):
             return True
         self._fail_after_sent(Reason.LEASE_LOST)
         return False
--- a/packages/daemon/src/pearward_daemon/owner.py
+++ b/packages/daemon/src/pearward_daemon/owner.py
@@ -8,8 +8,8 @@
 from typing import Any, Protocol
 
 from pearward_coordination.admission import AdmissionLimits, AdmissionQueue, Decision, Shed, Ticket
-from pearward_coordination.memory import RequestMemory, scoped_id
 from pearward_coordination.ownership import Admission, Ownership, Permit
+from pearward_coordination.seen_requests import SeenRequests, scoped_id
 from pearward_protocol.heads import RequestHead, ResponseHead
 from pearward_protocol.httpmap import HeaderName
 from pearward_state.outcome import Outcome, Reason
@@ -42,7 +42,7 @@
     def run_finished(self, run: int) -> None:
         """A request that held a permit has ended."""
 
-    def server_forgot(self) -> None:
+    def server_lost_grants(self) -> None:
         """The server refused a request for want of a grant."""
 
     def server_suspect(self) -> None:
@@ -79,7 +79,7 @@
         self._limits = limits
         self._keyed = True
         self._admission = AdmissionQueue(AdmissionLimits(queue=limits.queue))
-        self._memory = RequestMemory(limits.remember_s, limits.remember_count)
+        self._memory = SeenRequests(limits.remember_s, limits.remember_count)
         self._parked: dict[OwnedRequest, None] = {}
         self._queued: dict[Ticket, OwnedRequest] = {}
         self._by_run: dict[int, OwnedRequest] = {}
@@ -197,9 +197,9 @@
         self._by_run.pop(run, None)
         self._control.run_finished(run)
 
-    def still_good(self, permit: Permit) -> bool:
+    def is_permit_valid(self, permit: Permit) -> bool:
         """Return whether work under *permit* may go on."""
-        return self._ownership.still_good(permit, boot_time())
+        return self._ownership.is_permit_valid(permit, boot_time())
 
     def first_run(self, head: RequestHead, permit: Permit, now: float) -> ResponseHead | None:
         """Note a not-repeatable request as handed over; return a refusal if it may not be."""
@@ -209,8 +209,8 @@
             detail = f"first answer: {known.status}" if known.status else "first answer: none yet"
             return refusal(Outcome.ALREADY_RUN, Reason.DUPLICATE, status=409, detail=detail)
         if head.prior_age_ms and now - head.prior_age_ms / MS_PER_S < permit.granted_at:
-            return refusal(Outcome.UNKNOWN, Reason.NOT_SEEN_BEFORE_GRANT, status=502)
-        if not self._memory.has_room(now):
+            return refusal(Outcome.UNKNOWN, Reason.FIRST_SEEN_BEFORE_GRANT, status=502)
+        if not self._memory.has_capacity(now):
             return refusal(
                 Outcome.NOT_RUN, Reason.OVERLOADED, status=503, retry_after_s=1.0,
                 detail="no room to remember the request id",
@@ -230,7 +230,7 @@
 
     def fenced(self) -> None:
         """The server refused an epoch: grant anew."""
-        self._control.server_forgot()
+        self._control.server_lost_grants()
 
     def unreachable(self) -> None:
         """The server takes no connection."""
--- a/packages/daemon/src/pearward_daemon/seeking.py
+++ b/packages/daemon/src/pearward_daemon/seeking.py
@@ -83,25 +83,25 @@
         self._not_before = 0.0
         self._backoff_s = SEEK_BACKOFF_MIN_S
 
-    def heard(self) -> None:
+    def note_received(self) -> None:
         """The coordinator answered a heartbeat."""
         self._last_reply = boot_time()
         self._silent_holder = ""
         self._answered = True
         self._backoff_s = SEEK_BACKOFF_MIN_S
 
-    def tick(self, rank: int, handicap_s: float, *, may_replace: bool) -> None:
+    def tick(self, rank: int, election_delay_s: float, *, may_replace: bool) -> None:
         """Look for a coordinator if none has answered for a while.
 
         *rank* orders the members, so that they do not all ask the platform at once;
-        *handicap_s* holds back a daemon that has no lease. Without *may_replace* the role is
+        *election_delay_s* holds back a daemon that has no lease. Without *may_replace* the role is
         taken only where nobody holds it.
         """
         now = boot_time()
         self._may_replace = may_replace
         if self._seeking or now < self._not_before:
             return
-        delay = min(rank, MAX_RANK) * RANK_DELAY_S + handicap_s
+        delay = min(rank, MAX_RANK) * RANK_DELAY_S + election_delay_s
         if now - self._last_reply >= COORDINATOR_SILENCE_S + delay:
             self._seeking = True
             spawn(self._seek())
@@ -148,7 +148,7 @@
         await self._platform.swap(f"coordinator/{self._cell}", revision, value.encode(), lease)
         eliot.log_message("pearward:coordinator-taken", cell=self._cell)
         self._found = self._me.incarnation
-        self.heard()
+        self.note_received()
         self._on_taken(lease)
 
     def _wait(self) -> None:
--- a/packages/daemon/src/pearward_daemon/service_finder.py
+++ b/packages/daemon/src/pearward_daemon/service_finder.py
@@ -9,7 +9,7 @@
 import eliot
 from twisted.internet.defer import Deferred
 
-from pearward_coordination.service_lookups import Found, ServiceLookups
+from pearward_coordination.service_lookups import LookupResult, ServiceLookups
 from pearward_state.errors import InvalidRecord
 from pearward_state.table import ServiceTable
 from pearward_transport.clock import boot_time, sleep
@@ -46,7 +46,7 @@
         self._platform = platform
         self._rows = rows
         self._decisions = ServiceLookups()
-        self._asking: dict[str, list[Deferred[Found]]] = {}
+        self._asking: dict[str, list[Deferred[LookupResult]]] = {}
         self._listed: tuple[str, ...] | None = None
         self._unreadable: set[str] = set()
         self._running = False
@@ -90,22 +90,22 @@
         while self._running and self._unknown():
             await sleep(self._reactor, SPREAD_S)
             for name in self._unknown():
-                if await self.find(name) is Found.ABSENT:
+                if await self.find(name) is LookupResult.ABSENT:
                     self._listed = tuple(other for other in self._listed or () if other != name)
 
     # -- for callers' requests -----------------------------------------------------
 
-    def find(self, service: str) -> "Deferred[Found]":
+    def find(self, service: str) -> "Deferred[LookupResult]":
         """Return a Deferred of what the store says of a service that is not known here."""
-        result: Deferred[Found] = Deferred()
+        result: Deferred[LookupResult] = Deferred()
         now = boot_time()
         if self._decisions.known_absent(service, now):
-            result.callback(Found.ABSENT)
+            result.callback(LookupResult.ABSENT)
         elif service in self._asking:
             self._asking[service].append(result)
         elif not self._decisions.take(now):
             eliot.log_message("pearward:service-lookup", service=service, found="not asked: rate")
-            result.callback(Found.UNTOLD)
+            result.callback(LookupResult.UNDETERMINED)
         else:
             self._asking[service] = [result]
             spawn(self._ask(service))
@@ -113,7 +113,7 @@
 
     async def _ask(self, service: str) -> None:
         began = boot_time()
-        found, error = Found.UNTOLD, ""
+        found, error = LookupResult.UNDETERMINED, ""
         try:
             found = await self._look_up(service)
         except PlatformUnavailable as failed:
@@ -134,18 +134,18 @@
             for result in waiting:
                 result.callback(found)
 
-    async def _look_up(self, service: str) -> Found:
+    async def _look_up(self, service: str) -> LookupResult:
         """Read a service's rows, and who is in its cell where that is not known either."""
         rows = await self._platform.get(TABLE + service)
         if rows is None:
-            self._decisions.said_absent(service, boot_time())
-            return Found.ABSENT
+            self._decisions.note_absent(service, boot_time())
+            return LookupResult.ABSENT
         self._rows.value_found(rows.key, rows.value)
         if ServiceTable.from_bytes(service, rows.value).removed:
-            self._decisions.said_absent(service, boot_time())
-            return Found.ABSENT
+            self._decisions.note_absent(service, boot_time())
+            return LookupResult.ABSENT
         if not self._rows.knows(CELL + service):
             record = await self._platform.get(CELL + service)
             if record is not None:
                 self._rows.value_found(record.key, record.value)
-        return Found.THERE
+        return LookupResult.THERE
--- a/packages/devtools/src/pearward_devtools/bench/spread.py
+++ b/packages/devtools/src/pearward_devtools/bench/spread.py
@@ -7,8 +7,8 @@
 from collections import deque
 from random import Random
 
+from pearward_coordination.gossip import RecordGossip
 from pearward_coordination.messages import Announce, Digest, Pull, Push
-from pearward_coordination.spread import RecordSpread
 
 from .report import emit
 
@@ -26,7 +26,7 @@
 
     def __init__(self, daemons: int) -> None:
         self._rng = Random(7)
-        self._spreads = [RecordSpread(Random(i)) for i in range(daemons)]
+        self._spreads = [RecordGossip(Random(i)) for i in range(daemons)]
         self._names = [str(i) for i in range(daemons)]
         self._queue: deque[tuple[int, int, Message]] = deque()
         self.messages = 0
--- a/packages/devtools/src/pearward_devtools/experiment/model.py
+++ b/packages/devtools/src/pearward_devtools/experiment/model.py
@@ -14,12 +14,12 @@
 from pearward_coordination.attempt_plan import AttemptPlan, NextStep, RequestTimes
 from pearward_coordination.overload.policy import Mechanism, OverloadPolicy
 from pearward_coordination.selection import (
-    FAR_LOOKS,
-    NEAR_LOOKS,
+    FAR_SAMPLES,
+    NEAR_SAMPLES,
     Candidate,
-    IdleOdds,
+    FreeSlotOdds,
     LoadView,
-    MeanService,
+    MeanRunningTime,
     TargetLoad,
     choose_target,
     draw,
@@ -116,8 +116,8 @@
         }
         self._keyed = {spec.name for spec in pattern.services if spec.keyed}
         self._views: dict[tuple[int, str], LoadView] = {}
-        self._odds: dict[tuple[int, str], IdleOdds] = {}
-        self._usual: dict[tuple[int, str], MeanService] = {}
+        self._odds: dict[tuple[int, str], FreeSlotOdds] = {}
+        self._usual: dict[tuple[int, str], MeanRunningTime] = {}
         self.tally = Tally({r.name: Fate() for r in pattern.requests if r.per_s})
 
     # -- time --------------------------------------------------------------------------
@@ -193,7 +193,7 @@
             else:
                 self._ended(spec, began, outcome, first=first)
 
-        aged = self.policy.uses(Mechanism.AGED_RETURNS)
+        aged = self.policy.uses(Mechanism.AGED_RETRIES)
         _Route(self, spec, deadline, over, began if aged else self.now).next()
 
     def _ended(self, spec: RequestSpec, began: float, outcome: Outcome, *, first: bool) -> None:
@@ -232,15 +232,15 @@
         def usable(target: _Target) -> bool:
             return target.name not in plan.excluded and not target.lost
 
-        few = self.policy.uses(Mechanism.FEW_LOOKS)
-        drawn = draw(near, NEAR_LOOKS if few else len(near), usable, self._rng)
-        drawn += draw(far, FAR_LOOKS if few else len(far), usable, self._rng)
+        few = self.policy.uses(Mechanism.FEW_SAMPLES)
+        drawn = draw(near, NEAR_SAMPLES if few else len(near), usable, self._rng)
+        drawn += draw(far, FAR_SAMPLES if few else len(far), usable, self._rng)
         drawn += [
             t for t in targets if t.name in plan.full_targets and usable(t) and t not in drawn
         ]
         candidates = [Candidate(t.name, t in near, self.view(requester, t)) for t in drawn]
-        usual_s = self._usual.setdefault((requester, spec.service), MeanService()).seconds
-        chosen = choose_target(candidates, self.now, self._rng, usual_s=usual_s)
+        mean_run_s = self._usual.setdefault((requester, spec.service), MeanRunningTime()).seconds
+        chosen = choose_target(candidates, self.now, self._rng, mean_run_s=mean_run_s)
         return next(t for t in drawn if t.name == chosen.target) if chosen is not None else None
 
     def _owner(self, spec: RequestSpec, targets: list[_Target]) -> _Target | None:
@@ -256,14 +256,14 @@
         """Return whether a service has a target that was not tried."""
         return any(t.name not in tried and not t.lost for t in self._targets[spec.service])
 
-    def odds(self, requester: int, service: str) -> IdleOdds:
+    def odds(self, requester: int, service: str) -> FreeSlotOdds:
         """Return how often one requester finds a place without a queue at a service."""
-        return self._odds.setdefault((requester, service), IdleOdds())
+        return self._odds.setdefault((requester, service), FreeSlotOdds())
 
     def loaded(self, requester: int, target: _Target, load: TargetLoad) -> None:
         """A requester was told a target's load."""
         self.view(requester, target).reported(load, self.now)
-        self._usual.setdefault((requester, target.service), MeanService()).reported(load)
+        self._usual.setdefault((requester, target.service), MeanRunningTime()).reported(load)
 
     def view(self, requester: int, target: _Target) -> LoadView:
         """Return what one requester knows of a target."""
@@ -282,7 +282,7 @@
             self._start(run)
         else:
             target.waiting[run.ticket] = run
-            self.after(target.queue.patience_s(run.ticket, self.now), lambda: self._waited(run))
+            self.after(target.queue.max_wait_s(run.ticket, self.now), lambda: self._waited(run))
         self.after(max(0.0, run.ticket.deadline - self.now), lambda: self._out_of_time(run))
 
     def _waited(self, run: _Run) -> None:
@@ -382,10 +382,10 @@
         objective = self._plan.times.objective
         idle_only = (
             not self._keyed
-            and not self._plan.asks_last
+            and not self._plan.is_last_slot_request
             and world.policy.uses(Mechanism.IDLE_FIRST)
             and world.has_other(spec, self._plan.tried | {target.name})
-            and world.odds(self._requester, spec.service).worth_asking()
+            and world.odds(self._requester, spec.service).should_probe()
         )
         ticket = SlotTicket(
             spec.rank, self._deadline, objective, arrives, spec.name, idle_only=idle_only
@@ -394,7 +394,7 @@
         def back(outcome: Outcome, reason: Reason | None, back_s: float) -> None:
             if idle_only:
                 odds = world.odds(self._requester, spec.service)
-                odds.asked(found=reason is not Reason.OVERLOADED)
+                odds.note_probe(found=reason is not Reason.OVERLOADED)
             load = target.load(world.now)
             world.after(HOP_S, lambda: self._answered(target, load, outcome, reason, back_s))
 
--- a/packages/protocol/src/pearward_protocol/entries.py
+++ b/packages/protocol/src/pearward_protocol/entries.py
@@ -25,7 +25,7 @@
     KeyRange,
     Predecessor,
     TargetWitnesses,
-    check_whole,
+    check_complete,
 )
 from pearward_state.members import Holder, Member, TargetState
 
@@ -40,6 +40,7 @@
     "decode_key_map",
     "decode_key_map_change",
     "decode_member",
+    "deflate",
     "encode_crash",
     "encode_holder",
     "encode_key_map",
@@ -47,10 +48,9 @@
     "encode_member",
     "era_key",
     "holder_key",
+    "inflate",
     "key_map_key",
     "member_key",
-    "packed",
-    "unpacked",
 ]
 
 MEMBERS = "members/"
@@ -97,12 +97,12 @@
     return f"{ERAS}{era}"
 
 
-def packed(entry: bytes) -> bytes:
+def deflate(entry: bytes) -> bytes:
     """Return an entry compressed for transfer between daemons."""
     return zlib.compress(entry, COMPRESSION_LEVEL)
 
 
-def unpacked(data: bytes) -> bytes:
+def inflate(data: bytes) -> bytes:
     """Return the entry that packed() compressed; raises InvalidRecord."""
     decompressor = zlib.decompressobj()
     try:
@@ -147,7 +147,7 @@
             incarnation=reader.text("incarnation"),
             service=reader.text("service"),
             target=reader.text_or_empty("target"),
-            slots=reader.whole("slots"),
+            slots=reader.required_int("slots"),
             state=reader.choice("state", TargetState),
             cold_until=reader.number("cold_until", 0.0),
             stopping=reader.flag("stopping", False),
@@ -214,9 +214,9 @@
 
     def read(reader: FieldReader) -> KeyMap:
         ranges = _ranges(reader)
-        check_whole(ranges)
-        fence = reader.whole("fence", low=max(r.fence for r in ranges))
-        version = reader.whole("version", low=1)
+        check_complete(ranges)
+        fence = reader.required_int("fence", low=max(r.fence for r in ranges))
+        version = reader.required_int("version", low=1)
         return KeyMap(
             reader.text("service"), version, ranges, fence, _witnesses(reader),
             reader.flag("unsettled", False),
@@ -249,9 +249,9 @@
 
     def read(reader: FieldReader) -> KeyMapChange:
         return KeyMapChange(
-            reader.text("service"), reader.whole("base"), reader.whole("version"),
-            reader.whole("fence"), _ranges(reader), _witnesses(reader),
-            tuple(reader.texts("left")), reader.whole("checksum"),
+            reader.text("service"), reader.required_int("base"), reader.required_int("version"),
+            reader.required_int("fence"), _ranges(reader), _witnesses(reader),
+            tuple(reader.texts("left")), reader.required_int("checksum"),
             reader.flag("unsettled", False),
         )  # fmt: skip
 
--- a/packages/protocol/src/pearward_protocol/errors.py
+++ b/packages/protocol/src/pearward_protocol/errors.py
@@ -2,7 +2,7 @@
 
 from pearward_state.errors import PearwardError
 
-__all__ = ["BadHeader", "BadPlatformAnswer", "FrameError", "ProtocolError", "StreamError"]
+__all__ = ["BadHeader", "BadPlatformResponse", "FrameError", "ProtocolError", "StreamError"]
 
 
 class ProtocolError(PearwardError):
@@ -24,5 +24,5 @@
         super().__init__(f"{name}: {value!r}: {reason}")
 
 
-class BadPlatformAnswer(ProtocolError):
+class BadPlatformResponse(ProtocolError):
     """The platform's key-value service sent a response that violates its protocol."""
--- a/packages/protocol/src/pearward_protocol/etcd.py
+++ b/packages/protocol/src/pearward_protocol/etcd.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from .errors import BadPlatformAnswer
+from .errors import BadPlatformResponse
 
 __all__ = [
     "KeyValue",
@@ -136,13 +136,13 @@
 
 
 def parse_json(data: bytes) -> dict[str, Any]:
-    """Decode a response, which must be a JSON object; raises BadPlatformAnswer."""
+    """Decode a response, which must be a JSON object; raises BadPlatformResponse."""
     try:
         response = json.loads(data)
     except ValueError as error:
-        raise BadPlatformAnswer(f"response is not JSON: {data[:80]!r}") from error
+        raise BadPlatformResponse(f"response is not JSON: {data[:80]!r}") from error
     if not isinstance(response, dict):
-        raise BadPlatformAnswer(f"response is not a JSON object: {data[:80]!r}")
+        raise BadPlatformResponse(f"response is not a JSON object: {data[:80]!r}")
     return response
 
 
@@ -155,11 +155,11 @@
             int(raw.get("lease", 0)),
         )
     except (KeyError, ValueError, TypeError, binascii.Error) as error:
-        raise BadPlatformAnswer(f"key-value {raw!r}: {error}") from error
+        raise BadPlatformResponse(f"key-value {raw!r}: {error}") from error
 
 
 def parse_range(response: Mapping[str, Any]) -> list[KeyValue]:
-    """Return the key-value pairs in a range response; raises BadPlatformAnswer."""
+    """Return the key-value pairs in a range response; raises BadPlatformResponse."""
     return [_key_value(raw) for raw in response.get("kvs", [])]
 
 
@@ -169,11 +169,11 @@
 
 
 def parse_lease_id(response: Mapping[str, Any]) -> int:
-    """Return the id of a granted lease; raises BadPlatformAnswer."""
+    """Return the id of a granted lease; raises BadPlatformResponse."""
     try:
         return int(response["ID"])
     except (KeyError, ValueError) as error:
-        raise BadPlatformAnswer(f"lease grant {response!r}") from error
+        raise BadPlatformResponse(f"lease grant {response!r}") from error
 
 
 def parse_lease_ttl(response: Mapping[str, Any]) -> int:
@@ -185,14 +185,14 @@
 def parse_watch_line(line: bytes) -> list[WatchEvent]:
     """Return the events in one line of a watch's response stream.
 
-    Raises BadPlatformAnswer, also if the line reports an error or that the watch was cancelled.
+    Raises BadPlatformResponse, also if the line reports an error or that the watch was cancelled.
     """
     response = parse_json(line)
     if "error" in response:
-        raise BadPlatformAnswer(f"watch: {response['error']!r}")
+        raise BadPlatformResponse(f"watch: {response['error']!r}")
     result = response.get("result", {})
     if result.get("canceled"):
-        raise BadPlatformAnswer(f"watch cancelled: {result.get('cancel_reason', '')!r}")
+        raise BadPlatformResponse(f"watch cancelled: {result.get('cancel_reason', '')!r}")
     events: list[WatchEvent] = []
     for raw in result.get("events", []):
         pair = _key_value(raw["kv"])
--- a/packages/protocol/src/pearward_protocol/streams.py
+++ b/packages/protocol/src/pearward_protocol/streams.py
@@ -37,7 +37,7 @@
 )
 
 __all__ = [
-    "SHORT_BODY",
+    "MAX_INLINE_BODY",
     "ControlReceived",
     "DataReceived",
     "Event",
@@ -52,7 +52,7 @@
 
 DEFAULT_WINDOW = 128 * 1024
 MAX_CHUNK = 64 * 1024
-SHORT_BODY = 16 * 1024
+MAX_INLINE_BODY = 16 * 1024
 """Maximum length in bytes of a complete body that is sent in the frame of its head. Such a body
 does not count against the window."""
 _CREDIT = struct.Struct(">I")
@@ -206,7 +206,7 @@
     def open_stream(self, head: RequestHead, *, ended: bool, body: bytes = b"") -> int:
         """Open a stream and return its id.
 
-        *ended* means that no data follows. Only then may a *body* of up to SHORT_BODY bytes be
+        *ended* means that no data follows. Only then may a *body* of up to MAX_INLINE_BODY bytes be
         given, which is sent with the head. Raises StreamError.
         """
         if not self._opener or self.exhausted:
@@ -266,10 +266,10 @@
     ) -> None:
         flags = END if ended else 0
         if body:
-            if not ended or len(body) > SHORT_BODY:
+            if not ended or len(body) > MAX_INLINE_BODY:
                 raise StreamError(
                     f"body of {len(body)} bytes: only a complete body of up to "
-                    f"{SHORT_BODY} bytes may be sent with its head"
+                    f"{MAX_INLINE_BODY} bytes may be sent with its head"
                 )
             flags |= WITH_BODY
             head = pack_with_body(head, body)
--- a/packages/protocol/src/pearward_protocol/way_time.py
+++ b/packages/protocol/src/pearward_protocol/transit_delay.py
@@ -6,7 +6,7 @@
 taken as that of a frame which was not delayed. This module performs no I/O and reads no clock.
 """
 
-__all__ = ["WayTime"]
+__all__ = ["TransitDelay"]
 
 MAX_DELAY_S = 60.0
 """Longest plausible delay in s. A larger value means that the peer's clock was set or restarted, so
@@ -15,7 +15,7 @@
 """Maximum relative drift in s per s between two steady clocks, each of which is off by up to 2%."""
 
 
-class WayTime:
+class TransitDelay:
     """Delay estimate for the frames received on one connection."""
 
     def __init__(self) -> None:
@@ -24,7 +24,7 @@
         self._min_seen_at = 0.0
         """Local time in s at which that difference was observed."""
 
-    def waited_s(self, sent: float, now: float) -> float:
+    def excess_delay_s(self, sent: float, now: float) -> float:
         """Return the seconds by which a frame was in transit longer than the fastest one.
 
         *sent* is in s of the peer's clock, *now* in s of the local clock. Allowed clock drift is
@@ -33,13 +33,13 @@
         """
         difference_s = now - sent
         if self._min_difference_s is None:
-            waited_s = 0.0
+            excess_delay_s = 0.0
         else:
-            waited_s = max(
+            excess_delay_s = max(
                 0.0,
                 difference_s - self._min_difference_s - MAX_CLOCK_DRIFT * (now - self._min_seen_at),
             )
-        if 0.0 < waited_s <= MAX_DELAY_S:
-            return waited_s
+        if 0.0 < excess_delay_s <= MAX_DELAY_S:
+            return excess_delay_s
         self._min_difference_s, self._min_seen_at = difference_s, now
         return 0.0
--- a/packages/state/src/pearward_state/eras.py
+++ b/packages/state/src/pearward_state/eras.py
@@ -6,7 +6,7 @@
 greater than every number of an earlier one, including those that the store has lost.
 """
 
-__all__ = ["ERA_SPAN", "era_of", "first_of", "next_number"]
+__all__ = ["ERA_SPAN", "era_of", "era_start", "next_number"]
 
 ERA_SPAN = 2**32
 """Numbers in one era: enough for one key map per second for 136 years. Targets accept integers up
@@ -18,11 +18,11 @@
     return number // ERA_SPAN
 
 
-def first_of(era: int) -> int:
+def era_start(era: int) -> int:
     """Return the lowest number of *era*; all numbers of earlier eras are below it."""
     return era * ERA_SPAN
 
 
 def next_number(latest: int, era: int) -> int:
     """Return the number to allocate in *era* after *latest*."""
-    return max(latest, first_of(era)) + 1
+    return max(latest, era_start(era)) + 1
--- a/packages/state/src/pearward_state/fields.py
+++ b/packages/state/src/pearward_state/fields.py
@@ -84,7 +84,7 @@
             raise InvalidField(self.path(name), value, "expected a string")
         return value
 
-    def whole(self, name: str, *, low: int = 0, high: int = 2**53) -> int:
+    def required_int(self, name: str, *, low: int = 0, high: int = 2**53) -> int:
         """Return a required integer within ``low..high``."""
         if self.raw(name) is None:
             raise InvalidField(self.path(name), None, "is required")
--- a/packages/state/src/pearward_state/keymap.py
+++ b/packages/state/src/pearward_state/keymap.py
@@ -25,9 +25,9 @@
     "KeyRange",
     "Predecessor",
     "TargetWitnesses",
-    "changed_by",
-    "check_whole",
+    "check_complete",
     "covered",
+    "diff_key_maps",
 ]
 
 KEY_SPACE = 65_536
@@ -73,7 +73,7 @@
         return self.last - self.first + 1
 
 
-def check_whole(ranges: Iterable[KeyRange]) -> None:
+def check_complete(ranges: Iterable[KeyRange]) -> None:
     """Raise InvalidRecord unless the ranges cover each key exactly once, in order."""
     expected = 0
     for r in ranges:
@@ -148,7 +148,7 @@
         names += ["unsettled"] if self.unsettled else []
         return zlib.crc32("\n".join(names).encode(), zlib.crc32(numbers.tobytes()))
 
-    def after(self, change: "KeyMapChange") -> "KeyMap":
+    def apply(self, change: "KeyMapChange") -> "KeyMap":
         """Return the map that results from applying *change* to this one.
 
         Raises InvalidRecord if the change is for another service or version, or if the result
@@ -165,7 +165,7 @@
         } | rows
         witnesses = tuple(rows[target] for target in sorted(rows))
         ranges = self._replace_ranges(change.ranges)
-        check_whole(ranges)
+        check_complete(ranges)
         key_map = KeyMap(
             self.service, change.version, ranges, change.fence, witnesses, change.unsettled
         )
@@ -227,7 +227,7 @@
     """Whether the resulting map is unsettled."""
 
 
-def changed_by(before: KeyMap, key_map: KeyMap) -> KeyMapChange:
+def diff_key_maps(before: KeyMap, key_map: KeyMap) -> KeyMapChange:
     """Return the change from *before* to *key_map*, a later version of the same map."""
     old_ranges = set(before.ranges)
     old_rows = {row.target: row for row in before.witnesses}
--- a/packages/state/src/pearward_state/members.py
+++ b/packages/state/src/pearward_state/members.py
@@ -3,15 +3,15 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-__all__ = ["LIFE_MARK", "Holder", "Member", "TargetState", "target_id"]
+__all__ = ["ID_SEPARATOR", "Holder", "Member", "TargetState", "target_id"]
 
-LIFE_MARK = "~"
+ID_SEPARATOR = "~"
 """Separates the target's own id from the start time of the incarnation in an incarnation's id."""
 
 
 def target_id(incarnation: str) -> str:
     """Return the id that the target reports itself, which several incarnations may share."""
-    return incarnation.partition(LIFE_MARK)[0]
+    return incarnation.partition(ID_SEPARATOR)[0]
 
 
 class TargetState(StrEnum):
--- a/packages/state/src/pearward_state/outcome.py
+++ b/packages/state/src/pearward_state/outcome.py
@@ -36,7 +36,7 @@
     LEASE_LOST = "lease-lost"
     CANCELLED = "cancelled"
     DUPLICATE = "duplicate"
-    NOT_SEEN_BEFORE_GRANT = "first-seen-before-grant"
+    FIRST_SEEN_BEFORE_GRANT = "first-seen-before-grant"
     BODY_CUT = "body-cut"
     TOO_LARGE = "too-large"
     TARGET_REFUSED = "target-refused"
@@ -45,7 +45,7 @@
     """The target responded with an error of its own."""
     QUARANTINED = "quarantined"
     """Targets crashed while running the same request under other ids."""
-    SPOILT = "spoilt-answer"
+    INVALID_RESPONSE = "spoilt-answer"
     """The target's response was incomplete or did not belong to this request."""
 
 
--- a/packages/transport/src/pearward_transport/peer_connection.py
+++ b/packages/transport/src/pearward_transport/peer_connection.py
@@ -25,7 +25,7 @@
     ResponseReceived,
     StreamWritable,
 )
-from pearward_protocol.way_time import WayTime
+from pearward_protocol.transit_delay import TransitDelay
 
 from .clock import boot_time
 
@@ -151,7 +151,7 @@
         self._sent_since = False
         """Whether a control message was sent since anything was received."""
         self._checks = checks
-        self._way = WayTime()
+        self._way = TransitDelay()
 
     # -- properties ---------------------------------------------------------
 
@@ -321,7 +321,7 @@
         """
         if not head.sent_ms:
             return head
-        waited_ms = int(self._way.waited_s(head.sent_ms / MS_PER_S, boot_time()) * MS_PER_S)
+        waited_ms = int(self._way.excess_delay_s(head.sent_ms / MS_PER_S, boot_time()) * MS_PER_S)
         if waited_ms < LEAST_WAIT_MS:
             return head
         return replace(
@@ -335,7 +335,7 @@
 
     def _greeted(self, hello: Hello) -> None:
         if hello.sent_ms:
-            self._way.waited_s(hello.sent_ms / MS_PER_S, boot_time())
+            self._way.excess_delay_s(hello.sent_ms / MS_PER_S, boot_time())
         self._peer = PeerId(hello.incarnation, hello.address)
         if self._opener:
             self._handler.peer_answered(self._peer, self._expected)
--- a/packages/transport/src/pearward_transport/platform.py
+++ b/packages/transport/src/pearward_transport/platform.py
@@ -13,7 +13,7 @@
 from zope.interface import implementer
 
 from pearward_protocol import etcd
-from pearward_protocol.errors import BadPlatformAnswer
+from pearward_protocol.errors import BadPlatformResponse
 from pearward_protocol.etcd import KeyValue, Path, WatchEvent
 
 from .errors import CasConflict, PlatformUnavailable
@@ -203,7 +203,7 @@
             raise PlatformUnavailable(f"{path}: HTTP {status}: {data[:120]!r}")
         try:
             return etcd.parse_json(data)
-        except BadPlatformAnswer as error:
+        except BadPlatformResponse as error:
             raise PlatformUnavailable(f"{path}: {error}") from error
 
     def _exchange(self, path: str, body: bytes) -> "Deferred[tuple[int, bytes]]":
@@ -254,7 +254,7 @@
         *lines, self._buffer = self._buffer.split(b"\n")
         try:
             events = [event for line in lines if line for event in etcd.parse_watch_line(line)]
-        except BadPlatformAnswer:
+        except BadPlatformResponse:
             self._abort()
             return
         if len(self._buffer) > MAX_WATCH_LINE:
--- a/tests/fuzz/cell_world.py
+++ b/tests/fuzz/cell_world.py
@@ -197,7 +197,7 @@
                 # As a connection that is dialled now, by the record known now.
                 expected = {m.incarnation for m in role.record.members if m.peer == other.address}
                 role.core.peer_seen(PeerId(other.incarnation, other.address))
-                role.core.has_ended(expected - {other.incarnation})
+                role.core.note_ended(expected - {other.incarnation})
         role.writes += 1
         write_id = f"{node.incarnation}:{role.writes}"
         planned = role.core.plan(role.record, self.table, write_id, now)
@@ -298,7 +298,7 @@
                 found.add(node.incarnation)
             if any(
                 run.permit.start <= position < run.permit.end
-                and ownership.still_good(run.permit, now)
+                and ownership.is_permit_valid(run.permit, now)
                 for run in node.runs
             ):
                 found.add(node.incarnation)
--- a/tests/fuzz/mesh_cases.py
+++ b/tests/fuzz/mesh_cases.py
@@ -11,7 +11,7 @@
 from pearward_coordination import grants, hold_ledger, target_witness
 from pearward_coordination.messages import ReleaseReply, RenewReply
 from pearward_daemon.mesh import target_lease
-from pearward_daemon.mesh.settings import GrantWay
+from pearward_daemon.mesh.settings import GrantMode
 from pearward_state.keymap import KeyMap, Predecessor
 from pearward_state.members import TargetState
 
@@ -28,7 +28,7 @@
     name: str
     without: Any
     play: Callable[[World], None]
-    way: GrantWay = GrantWay.HEARTBEAT
+    way: GrantMode = GrantMode.HEARTBEAT
 
 
 def _hold_beyond_lease(self: Any, received: float) -> float:
@@ -169,7 +169,7 @@
     return replace(key_map, version=key_map.version + 1, ranges=(moved, *rest), fence=fence)
 
 
-_release_of = grants.GrantKeeper.release_of
+_release_of = grants.GrantManager.released_rows
 
 
 def _release_by_any_map(
@@ -198,18 +198,18 @@
 
 
 def _confirmed_alone(self: Any, first: int, last: int, now: float, below: int) -> bool:
-    return any(h.until > now and h.fence < below for h in self._on(first, last))
+    return any(h.until > now and h.fence < below for h in self._overlapping(first, last))
 
 
 CASES: dict[str, Case] = {
     "a hold ends within the lease": Case(
-        grants.GrantKeeper, "hold_s", _hold_beyond_lease, _peers_cut
+        grants.GrantManager, "hold_s", _hold_beyond_lease, _peers_cut
     ),
     "a witness waits for what it granted": Case(
         target_witness.TargetWitness, "on_ask_release", _release_at_once, _leaves_and_is_cut
     ),
     "a new owner waits for its predecessors": Case(
-        grants.GrantKeeper, "_let_go", lambda self, p, o, now: True, _peers_cut
+        grants.GrantManager, "_has_released", lambda self, p, o, now: True, _peers_cut
     ),
     "a witness renews only by a map as new as its own": Case(
         target_witness.TargetWitness, "on_renew", _renew_whatever, _old_map
@@ -222,18 +222,18 @@
         _leaves_is_cut_and_forgotten,
     ),
     "a release is told only by a map as new as asked": Case(
-        grants.GrantKeeper, "release_of", _release_by_any_map, _asked_while_behind
+        grants.GrantManager, "released_rows", _release_by_any_map, _asked_while_behind
     ),
     "released keys rest until unanswered grants run out": Case(
         hold_ledger.HoldLedger, "may_hold", _confirmed_alone, _late_grants_and_a_leave,
-        GrantWay.CALL,
+        GrantMode.CALL,
     ),
     "a restarted daemon waits for its earlier grants": Case(
-        grants.GrantKeeper, "begun_unknown",
-        lambda self, transit_s: setattr(self, "_heard", True), _restart_and_a_leave,
-        GrantWay.CALL,
+        grants.GrantManager, "assume_unknown_grants",
+        lambda self, transit_s: setattr(self, "_holds_known", True), _restart_and_a_leave,
+        GrantMode.CALL,
     ),
     "a hold by call ends within the lease": Case(
-        grants.GrantKeeper, "hold_s", _hold_beyond_lease, _peers_cut, GrantWay.CALL
+        grants.GrantManager, "hold_s", _hold_beyond_lease, _peers_cut, GrantMode.CALL
     ),
 }  # fmt: skip
--- a/tests/fuzz/mesh_machine.py
+++ b/tests/fuzz/mesh_machine.py
@@ -6,7 +6,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, rule
 
 from pearward_coordination.grants import GrantTiming
-from pearward_daemon.mesh.settings import GrantWay
+from pearward_daemon.mesh.settings import GrantMode
 
 from .mesh_world import Node, World, begin_world
 
@@ -20,7 +20,7 @@
 class MeshMachine(RuleBasedStateMachine):
     """Kills, freezes, cuts, lost and late writes, revoked entries, replacements, moves."""
 
-    way = GrantWay.HEARTBEAT
+    way = GrantMode.HEARTBEAT
 
     def __init__(self) -> None:
         super().__init__()
@@ -193,7 +193,7 @@
 class CallMeshMachine(MeshMachine):
     """The same with targets that take their keys by calls, some of them late."""
 
-    way = GrantWay.CALL
+    way = GrantMode.CALL
 
     @rule(late=st.lists(ORDER_DELAYS, min_size=1, max_size=8))
     def lose_orders(self, late: list[tuple[float, ...]]) -> None:
@@ -235,7 +235,7 @@
 class CallReturningStoreMachine(ReturningStoreMachine):
     """The same with targets that take their keys by calls, some of them late."""
 
-    way = GrantWay.CALL
+    way = GrantMode.CALL
 
     @rule(late=st.lists(ORDER_DELAYS, min_size=1, max_size=8))
     def lose_orders(self, late: list[tuple[float, ...]]) -> None:
--- a/tests/fuzz/mesh_targets.py
+++ b/tests/fuzz/mesh_targets.py
@@ -9,11 +9,11 @@
 
 from pearward_coordination.grants import GrantedRow, HeldRow, ReleasedRow
 from pearward_daemon.mesh.dialect import (
-    BeatAnswer,
     GrantReply,
     GrantVerdict,
+    HeartbeatResponse,
     ReleaseReply,
-    TargetBeat,
+    TargetHeartbeat,
 )
 from pearward_state.members import TargetState, target_id
 from pearward_transport.errors import ServerUnreachable
@@ -54,14 +54,14 @@
         rate: float,
         *,
         target_id: str = "",
-        born_ms: int | None = None,
+        started_ms: int | None = None,
     ) -> None:
         self._world = world
         self.node = node
         self.life = f"i-{node.number}-{number}"
         """Names the process, which may have the id of a former one."""
         self.id = target_id or self.life
-        self._born_ms = born_ms
+        self._started_ms = started_ms
         self._rate = rate
         self._sequence = 0
         self.alive = True
@@ -103,14 +103,14 @@
     def _beat(self, now: float) -> None:
         leaving = any(row.released_at is not None for row in self.rows)
         self._next_beat = now + (SOON_S if leaving else BEAT_S)
-        beat = self.next_beat()
-        sequence, freed = beat.sequence, beat.released
+        target_heartbeat = self.next_beat()
+        sequence, freed = target_heartbeat.sequence, target_heartbeat.released
         daemon = self.node.daemon
 
         def deliver() -> None:
             if not self.alive or daemon is not self.node.daemon or daemon is None:
                 return
-            answer = daemon.core.side.beat(beat)
+            answer = daemon.core.local_target.target_heartbeat(target_heartbeat)
             answer.addCallback(
                 lambda a: self._world.at(
                     self._world.now + LINK_S, lambda: self._take(sequence, now, freed, a)
@@ -119,10 +119,10 @@
 
         self._world.deliver(daemon, self._world.now + LINK_S + self.node.beat_delay_s, deliver)
 
-    def next_beat(self) -> TargetBeat:
+    def next_beat(self) -> TargetHeartbeat:
         """Return the next heartbeat, which counts as sent."""
         self._sequence += 1
-        return TargetBeat(
+        return TargetHeartbeat(
             target=self.id,
             service=SERVICE,
             address="127.0.0.1:1",
@@ -131,7 +131,7 @@
             state=TargetState.DRAINING if self.draining else TargetState.READY,
             cold_s=0.0,
             sequence=self._sequence,
-            born_ms=self._born_ms,
+            started_ms=self._started_ms,
             held=() if self._world.by_call else self._held_rows(),
             released=tuple(self._freed),
         )
@@ -197,7 +197,7 @@
     # -- answers to heartbeats --------------------------------------------------------
 
     def _take(
-        self, sequence: int, sent: float, freed: tuple[ReleasedRow, ...], answer: BeatAnswer
+        self, sequence: int, sent: float, freed: tuple[ReleasedRow, ...], answer: HeartbeatResponse
     ) -> None:
         if not self.alive:
             return
--- a/tests/fuzz/mesh_world.py
+++ b/tests/fuzz/mesh_world.py
@@ -24,23 +24,23 @@
 from pearward_coordination.quarantine import QuarantineRule
 from pearward_coordination.retry_window import RetryRule
 from pearward_daemon.mesh import (
-    beat_answers,
     call_delivery,
     core,
     crash_control,
     crash_entries,
     drain_control,
+    heartbeat_responses,
     key_planner,
+    local_target,
     member_feed,
     store_session,
-    target_end,
     target_lease,
-    target_side,
     target_slots,
+    termination_detector,
 )
 from pearward_daemon.mesh.core import MeshCore
 from pearward_daemon.mesh.log import DecisionLog
-from pearward_daemon.mesh.settings import Address, GrantWay, MeshSettings, StoreSettings
+from pearward_daemon.mesh.settings import Address, GrantMode, MeshSettings, StoreSettings
 from pearward_platform.document import check_drain
 from pearward_protocol.control import decode_control, encode_control
 from pearward_state.routes import RoutingTable, ServiceRules
@@ -59,7 +59,7 @@
 
 
 class _Client:
-    """The connections to a target, as TargetSide asks for them."""
+    """The connections to a target, as LocalTarget asks for them."""
 
     def __init__(self, node: Node) -> None:
         self._node = node
@@ -82,7 +82,7 @@
         super().__init__(0, now)
         self.counts: Counter[str] = Counter()
 
-    def decided(self, what: str, *, failure: bool = False, **fields: Any) -> None:
+    def emit(self, what: str, *, failure: bool = False, **fields: Any) -> None:
         """Count a decision."""
         self.counts[what] += 1
 
@@ -132,7 +132,7 @@
         count: int,
         timing: GrantTiming,
         seed: int = 1,
-        way: GrantWay = GrantWay.HEARTBEAT,
+        way: GrantMode = GrantMode.HEARTBEAT,
         domains: tuple[str, ...] = ("a",),
         *,
         born: bool = False,
@@ -164,7 +164,7 @@
     @property
     def by_call(self) -> bool:
         """Whether targets are told their keys by calls."""
-        return self._way is GrantWay.CALL
+        return self._way is GrantMode.CALL
 
     def domain_of(self, node: Node) -> str:
         """Return the failure domain of an instance."""
@@ -300,7 +300,9 @@
         """A new incarnation of the target begins."""
         node.lives += 1
         rate = self._rng.choice((0.98, 0.99, 1.0))
-        node.target = FakeTarget(self, node, node.lives, rate, born_ms=self._born_ms(self._born))
+        node.target = FakeTarget(
+            self, node, node.lives, rate, started_ms=self._started_ms(self._born)
+        )
 
     def restart_target(self, node: Node, *, born: bool) -> None:
         """The target crashes, and a new process of it starts under the same id.
@@ -313,17 +315,21 @@
         node.lives += 1
         node.target = FakeTarget(
             self, node, node.lives, self._rng.choice((0.98, 0.99, 1.0)),
-            target_id=former.id, born_ms=self._born_ms(born),
+            target_id=former.id, started_ms=self._started_ms(born),
         )  # fmt: skip
 
-    def _born_ms(self, told: bool) -> int | None:
+    def _started_ms(self, told: bool) -> int | None:
         """Return the Unix time in ms at which a target starts now; None where it does not say."""
         return round(self.now * 1000) if told else None
 
     def late_beat(self, node: Node, target: FakeTarget, delay_s: float) -> None:
         """A heartbeat that a target sends now arrives after a while, whatever happens to it."""
-        daemon, beat = node.daemon, target.next_beat()
-        self.deliver(daemon, self.now + delay_s, lambda: daemon and daemon.core.side.beat(beat))
+        daemon, target_heartbeat = node.daemon, target.next_beat()
+        self.deliver(
+            daemon,
+            self.now + delay_s,
+            lambda: daemon and daemon.core.local_target.target_heartbeat(target_heartbeat),
+        )
 
     def return_store(self, copy: Any, away_s: float) -> None:
         """The store is away for some seconds and comes back from a copy."""
@@ -400,7 +406,7 @@
         """Ask a target for neighbouring keys so often that the planner moves some."""
         if node.daemon is None:
             return
-        counter = node.daemon.core.side._counter
+        counter = node.daemon.core.local_target._counter
         for number in range(requests):
             counter.count((first + number % 200) % 65_536)
 
@@ -431,7 +437,7 @@
     return Address(f"10.0.0.{number + 1}", 7600)
 
 
-def _settings(number: int, timing: GrantTiming, way: GrantWay) -> MeshSettings:
+def _settings(number: int, timing: GrantTiming, way: GrantMode) -> MeshSettings:
     here = _peers(number)
     return MeshSettings(
         instance=f"instance-{number}",
@@ -446,7 +452,7 @@
         peers_reached_at=here,
         metrics=here,
         store=StoreSettings("127.0.0.1:2", 3.0, 0.8),
-        grant_way=way,
+        grant_mode=way,
         holds=timing,
         silent_s=2.2,
         retries=RetryRule(0.2, 50, 10.0),
@@ -479,11 +485,11 @@
 
     with ExitStack() as stack:
         for module in (
-            beat_answers, call_delivery, core, crash_control, crash_entries, drain_control,
-            key_planner, member_feed, store_session, target_end, target_lease, target_side,
-            target_slots,
+            heartbeat_responses, call_delivery, core, crash_control, crash_entries, drain_control,
+            key_planner, member_feed, store_session, termination_detector, target_lease,
+            local_target, target_slots,
         ):  # fmt: skip
             stack.enter_context(mock.patch.object(module, "boot_time", now))
-        for module in (crash_control, key_planner, target_side):
+        for module in (crash_control, key_planner, local_target):
             stack.enter_context(mock.patch.object(module, "unix_time", now))
         yield
--- a/tests/fuzz/retry_machine.py
+++ b/tests/fuzz/retry_machine.py
@@ -16,8 +16,8 @@
     Shed,
     Ticket,
 )
-from pearward_coordination.memory import RequestMemory
-from pearward_coordination.retry import Attempt, AttemptTally, RetryBudget, decide_retry
+from pearward_coordination.retry import Attempt, AttemptHistory, RetryBudget, decide_retry
+from pearward_coordination.seen_requests import SeenRequests
 from pearward_state.outcome import Outcome, Reason, RequestClass
 
 RATIO = 0.1
@@ -32,7 +32,7 @@
         """Start with an empty memory and a full budget."""
         self.rng = Random(seed)
         self.budget = RetryBudget(RATIO)
-        self.memory = RequestMemory(600.0, 10_000)
+        self.memory = SeenRequests(600.0, 10_000)
         self.now = 0.0
         self.granted_at = 0.0
         self.first_seen: dict[bytes, float] = {}
@@ -64,7 +64,7 @@
     def _attempts(
         self, request_id: bytes, repeatable: bool, fates: list[str], prior_age: float
     ) -> Outcome:
-        tally = AttemptTally()
+        tally = AttemptHistory()
         for number, fate in enumerate([*fates, "served"], start=1):
             tally.begun()
             outcome, reason = self._one(request_id, repeatable, fate, prior_age)
@@ -92,7 +92,7 @@
             if self.memory.find(request_id, self.now) is not None:
                 return Outcome.ALREADY_RUN, Reason.DUPLICATE
             if prior_age and self.now - prior_age < self.granted_at:
-                return Outcome.UNKNOWN, Reason.NOT_SEEN_BEFORE_GRANT
+                return Outcome.UNKNOWN, Reason.FIRST_SEEN_BEFORE_GRANT
             self.memory.remember(request_id, self.now)
         self.runs[request_id] = self.runs.get(request_id, 0) + 1
         if fate == "lost after":
@@ -109,7 +109,7 @@
         """The owner is lost with its memory; a new one is granted the shard."""
         self.now += 0.5
         self.granted_at = self.now
-        self.memory = RequestMemory(600.0, 10_000)
+        self.memory = SeenRequests(600.0, 10_000)
 
     @rule(kind=st.sampled_from(list(RequestClass)), tenant=st.sampled_from("abc"),
           left=st.floats(0.01, 3.0))  # fmt: skip
--- a/tests/fuzz/returning_store.py
+++ b/tests/fuzz/returning_store.py
@@ -10,7 +10,7 @@
 from contextlib import ExitStack
 
 from pearward_coordination.grants import GrantTiming
-from pearward_daemon.mesh.settings import GrantWay
+from pearward_daemon.mesh.settings import GrantMode
 
 from .mesh_world import KEYS, Node, World, begin_world
 
@@ -34,7 +34,7 @@
 class Play:
     """One play in virtual time."""
 
-    def __init__(self, seed: int, way: GrantWay) -> None:
+    def __init__(self, seed: int, way: GrantMode) -> None:
         self._rng = random.Random(seed)
         self._way = way
         self._seed = seed
--- a/tests/fuzz/table_machine.py
+++ b/tests/fuzz/table_machine.py
@@ -9,8 +9,8 @@
 
 from pearward_cli.errors import ConflictingEdits, PlatformDown
 from pearward_cli.tables import TableEditor
+from pearward_coordination.gossip import RecordGossip
 from pearward_coordination.messages import Announce, Digest, Pull, Push
-from pearward_coordination.spread import RecordSpread
 from pearward_protocol.etcd import KeyValue
 from pearward_state.table import ServiceTable
 from pearward_transport.errors import CasConflict, PlatformUnavailable
@@ -59,7 +59,7 @@
         self.editor = TableEditor(self.platform, "operator", lambda: "t")  # type: ignore[arg-type]
         rows = {"service": {}, "servers": {"a": {}, "b": {}}}
         self._run(self.editor.apply(SERVICE, ServiceTable.from_mapping(SERVICE, rows).to_mapping()))
-        self.spreads = [RecordSpread(Random(seed + i)) for i in range(DAEMONS)]
+        self.spreads = [RecordGossip(Random(seed + i)) for i in range(DAEMONS)]
         self.seen = [0] * DAEMONS
         self.now = 0.0
         self.expected: dict[str, Any] = dict(self._table().to_mapping()["service"])
--- a/tests/fuzz/teeth.py
+++ b/tests/fuzz/teeth.py
@@ -73,7 +73,7 @@
     watched = self._watched.get(owner)
     if watched is None:
         return _on_renew(self, owner, ask, record, table_version, now)
-    watched.last_heard = now
+    watched.last_renewal_at = now
     watched.granted_until = now + self._timing.lease_s
     return RenewReply(ask.cell, owner, ask.nonce, True, record.version)
 
