--- a/packages/daemon/src/pearward_daemon/attempts.py
+++ b/packages/daemon/src/pearward_daemon/attempts.py
@@ -9,10 +9,10 @@
 
 from .exchange import AttemptListener, ReplySink
 
-__all__ = ["LocalAttempt", "OwnerSide", "RemoteAttempt"]
+__all__ = ["LocalAttempt", "LocalOwner", "RemoteAttempt"]
 
 
-class OwnerSide(Protocol):
+class LocalOwner(Protocol):
     """What takes requests for the server beside this daemon."""
 
     def take(self, head: RequestHead, ended: bool, body: bytes, reply: ReplySink) -> InboundHandler:
@@ -89,9 +89,9 @@
         self._window = window
         self._request: InboundHandler | None = None
         self._body_pending = 0
-        self._answer_pending = 0
+        self._response_pending = 0
 
-    def open(self, owner: OwnerSide, head: RequestHead, *, ended: bool, body: bytes = b"") -> None:
+    def open(self, owner: LocalOwner, head: RequestHead, *, ended: bool, body: bytes = b"") -> None:
         """Give the request to this daemon's own owner side."""
         request = self._request = owner.take(head, ended, body, _LocalReply(self))
         request.begin()
@@ -105,9 +105,9 @@
 
     def consumed(self, count: int) -> None:
         """Let more of the answer come."""
-        was_full = self._answer_pending >= self._window
-        self._answer_pending -= count
-        if was_full and self._answer_pending < self._window and self._request is not None:
+        was_full = self._response_pending >= self._window
+        self._response_pending -= count
+        if was_full and self._response_pending < self._window and self._request is not None:
             self._request.writable()
 
     def cancel(self) -> None:
@@ -123,17 +123,17 @@
 
     # -- called by the reply --------------------------------------------------
 
-    def answered(self, head: ResponseHead, ended: bool, body: bytes) -> None:
+    def response_started(self, head: ResponseHead, ended: bool, body: bytes) -> None:
         """Pass the head on."""
         if self._listener is not None:
             self._listener.answer_head(head, ended, body)
 
-    def answer_chunk(self, data: bytes, ended: bool) -> bool:
+    def response_chunk(self, data: bytes, ended: bool) -> bool:
         """Pass a chunk on; return whether more may follow at once."""
-        self._answer_pending += len(data)
+        self._response_pending += len(data)
         if self._listener is not None:
             self._listener.answer_data(data, ended)
-        return self._answer_pending < self._window
+        return self._response_pending < self._window
 
     def body_consumed(self, count: int) -> None:
         """The server has taken part of the body."""
@@ -142,7 +142,7 @@
         if was_full and self._body_pending < self._window and self._listener is not None:
             self._listener.attempt_writable()
 
-    def broken(self, code: ResetCode) -> None:
+    def response_reset(self, code: ResetCode) -> None:
         """The owner's side broke off."""
         listener, self._listener = self._listener, None
         if listener is not None and code is ResetCode.BROKEN:
@@ -164,11 +164,11 @@
 
     def respond(self, head: ResponseHead, *, ended: bool, body: bytes = b"") -> None:
         """Send the head of the answer, or the whole of a short one."""
-        self._attempt.answered(head, ended, body)
+        self._attempt.response_started(head, ended, body)
 
     def send_data(self, data: bytes, *, ended: bool = False) -> bool:
         """Send a chunk; return whether more may follow at once."""
-        return self._attempt.answer_chunk(data, ended)
+        return self._attempt.response_chunk(data, ended)
 
     def consumed(self, count: int) -> None:
         """Let the requester send more."""
@@ -176,4 +176,4 @@
 
     def reset(self, code: ResetCode) -> None:
         """Break the answer off."""
-        self._attempt.broken(code)
+        self._attempt.response_reset(code)
--- a/packages/daemon/src/pearward_daemon/caller_request.py
+++ b/packages/daemon/src/pearward_daemon/caller_request.py
@@ -41,9 +41,9 @@
 __all__ = ["RoutedRequest"]
 
 MS_PER_S = 1000
-ANSWER_GRACE_S = 0.05
+RESPONSE_GRACE_S = 0.05
 """Time after the deadline for the owner's own verdict to arrive."""
-LOST_RETRY_S = 0.2
+DEFAULT_RETRY_S = 0.2
 BAD_REQUEST = 400
 NOT_FOUND = 404
 UNAVAILABLE = 503
@@ -63,7 +63,7 @@
         self._request_id = b""
         self._prior_age_ms = 0
         self._headers = b""
-        self._begun_at = 0.0
+        self._started_at = 0.0
         self._deadline = 0.0
         self._body: list[bytes] = []
         self._body_size = 0
@@ -72,12 +72,12 @@
         """Whether chunks go straight on and are no longer kept."""
         self._attempt: AttemptStream | None = None
         self._target = ""
-        self._tally = AttemptTally()
+        self._history = AttemptTally()
         self._avoid: set[str] = set()
-        self._refusal: tuple[Reason, str, int] | None = None
+        self._pending_refusal: tuple[Reason, str, int] | None = None
         """What to answer once the body has come."""
         self._finding_service = False
-        self._answering = False
+        self._response_started = False
         self._done = False
         self._paused = False
         self._unconsumed = 0
@@ -90,7 +90,7 @@
     def begin(self) -> None:
         """Read the headers; a small body is waited for, a large one is streamed."""
         ingress = self._ingress
-        self._begun_at = boot_time()
+        self._started_at = boot_time()
         try:
             headers = self._request.header_values()
             context = read_context(self._request.method, headers.get, ingress.request_limits)
@@ -155,7 +155,7 @@
             table.service.default_class if context.request_class is None else context.request_class
         )
         self._identify(context)
-        if ingress.draws_action():
+        if ingress.sample_next():
             self._action = eliot.start_task(
                 action_type="pearward:request",
                 service=context.service,
@@ -177,13 +177,13 @@
         overtake the answer.
         """
         if not self._body_ended and 0 < self._body_length <= self._ingress.limits.replay_bytes:
-            self._refusal = (reason, detail, status)
+            self._pending_refusal = (reason, detail, status)
         else:
-            self._answer(Outcome.NOT_RUN, reason, detail, status=status)
+            self._respond(Outcome.NOT_RUN, reason, detail, status=status)
 
     def body_received(self, data: bytes) -> None:
         """Keep a chunk, or pass it on."""
-        if self._done or self._refusal is not None:
+        if self._done or self._pending_refusal is not None:
             return
         if self._body_forwarded:
             self._forward(data, ended=False)
@@ -194,7 +194,7 @@
             if self._body_size > self._ingress.limits.replay_bytes:
                 self._request.pause_body()
             return
-        if self._tally.number or self._body_size <= self._ingress.limits.replay_bytes:
+        if self._history.number or self._body_size <= self._ingress.limits.replay_bytes:
             return
         if self._attempt is None:
             # Longer than what is kept for another attempt: go on as a stream.
@@ -205,14 +205,14 @@
         if self._done:
             return
         self._body_ended = True
-        if self._refusal is not None:
-            reason, detail, status = self._refusal
-            self._answer(Outcome.NOT_RUN, reason, detail, status=status)
+        if self._pending_refusal is not None:
+            reason, detail, status = self._pending_refusal
+            self._respond(Outcome.NOT_RUN, reason, detail, status=status)
         elif self._finding_service:
             return
         elif self._body_forwarded:
             self._forward(b"", ended=True)
-        elif not self._tally.number:
+        elif not self._history.number:
             self._try()
 
     def caller_lost(self) -> None:
@@ -239,18 +239,18 @@
             return
         memory = self._ingress.memory
         scoped = scoped_id(context.tenant, context.request_id)
-        known = memory.find(scoped, self._begun_at)
+        known = memory.find(scoped, self._started_at)
         if known is not None:
-            age_ms = max(1, int((self._begun_at - known.first_seen) * MS_PER_S))
+            age_ms = max(1, int((self._started_at - known.first_seen) * MS_PER_S))
             self._prior_age_ms = max(self._prior_age_ms, age_ms)
-        elif memory.has_room(self._begun_at):
-            memory.remember(scoped, self._begun_at)
+        elif memory.has_room(self._started_at):
+            memory.remember(scoped, self._started_at)
 
     def _start_timer(self, context: RequestContext) -> None:
         wait_s = context.deadline_ms / MS_PER_S
-        self._deadline = self._begun_at + wait_s
+        self._deadline = self._started_at + wait_s
         self._timer = self._ingress.reactor.callLater(
-            wait_s + ANSWER_GRACE_S, self._deadline_passed
+            wait_s + RESPONSE_GRACE_S, self._deadline_passed
         )
 
     # -- attempts -------------------------------------------------------------
@@ -261,7 +261,7 @@
         if self._done:
             return
         assert self._context is not None
-        self._tally.begun()
+        self._history.begun()
         try:
             route = self._ingress.router.route(
                 self._context.service, self._context.key, self._avoid
@@ -375,7 +375,7 @@
         if self._done:
             return
         if head.outcome is not Outcome.SERVED:
-            self._refused(head)
+            self._handle_refusal(head)
             return
         headers = b"%b%b%b: %b\r\n%b" % (
             head.headers,
@@ -386,10 +386,10 @@
         self._check_draining()
         if ended:
             self._request.answer_whole(head.status, headers, body)
-            self._attempt_over()
+            self._detach_attempt()
             self._finish(Outcome.SERVED, None)
             return
-        self._answering = True
+        self._response_started = True
         self._cancel_timer()
         self._request.begin_answer(head.status, headers, head.body_length)
 
@@ -404,22 +404,22 @@
             elif self._attempt is not None:
                 self._attempt.consumed(len(data))
         if ended:
-            self._answer_whole()
+            self._finish_response()
 
     def attempt_failed(self, outcome: Outcome, reason: Reason, detail: str) -> None:
         """An attempt ended without the server's answer."""
-        self._attempt_over()
+        self._detach_attempt()
         if self._done:
             return
-        if self._answering:
+        if self._response_started:
             self._request.abort_answer()
             self._finish(Outcome.UNKNOWN, reason)
             return
-        self._after_failure(outcome, reason, detail, 0.0, 0)
+        self._retry_or_fail(outcome, reason, detail, 0.0, 0)
 
     def record_changed(self, record: CellRecord) -> None:
         """Give the present attempt up if its daemon is no longer a member that may act."""
-        if self._attempt is None or self._answering or self._context is None:
+        if self._attempt is None or self._response_started or self._context is None:
             return
         if record.service != self._context.service:
             return
@@ -430,7 +430,7 @@
                 Outcome.UNKNOWN, Reason.CONNECTION_LOST, "the owner's daemon has been given up"
             )
 
-    def _refused(self, head: ResponseHead) -> None:
+    def _handle_refusal(self, head: ResponseHead) -> None:
         """The owner's daemon answered in the server's place."""
         reason = head.reason or Reason.SERVER_FAILED
         assert self._context is not None
@@ -440,12 +440,12 @@
             member = self._target_member()
             address = member.peer if member is not None else ""
             self._ingress.control.want_record(service, head.version, address)
-        self._attempt_over()
-        self._after_failure(
+        self._detach_attempt()
+        self._retry_or_fail(
             head.outcome, reason, head.detail, head.retry_after_ms / MS_PER_S, head.status
         )
 
-    def _after_failure(
+    def _retry_or_fail(
         self, outcome: Outcome, reason: Reason, detail: str, retry_s: float, status: int
     ) -> None:
         """Try again, or give the caller the final answer."""
@@ -453,15 +453,15 @@
         assert context is not None
         ingress = self._ingress
         ingress.metrics.attempt_failed(context.service, outcome, reason)
-        self._tally.failed(outcome, reason)
+        self._history.failed(outcome, reason)
         if self._target:
             self._avoid.add(self._target)
         record = ingress.router.records.get(context.service)
         attempt = Attempt(
             outcome=outcome,
             reason=reason,
-            number=self._tally.number,
-            moves=self._tally.moves,
+            number=self._history.number,
+            moves=self._history.moves,
             repeatable=context.repeatable,
             replayable=self._body_ended and not self._body_forwarded,
             keyed=self._keyed,
@@ -476,31 +476,31 @@
         if decision.again:
             self._retry = ingress.reactor.callLater(decision.delay_s, self._try)
             return
-        self._answer(outcome, reason, detail, status=status, retry_s=retry_s)
+        self._respond(outcome, reason, detail, status=status, retry_s=retry_s)
 
-    def _attempt_over(self) -> None:
+    def _detach_attempt(self) -> None:
         """Nothing more comes of the present attempt."""
         if self._attempt is not None:
             self._attempt.detach()
             self._attempt = None
             self._ingress.router.ended(self._target)
 
-    def _answer_whole(self) -> None:
+    def _finish_response(self) -> None:
         """The answer is complete."""
-        self._attempt_over()
+        self._detach_attempt()
         self._request.end_answer()
         self._finish(Outcome.SERVED, None)
 
     def _deadline_passed(self) -> None:
         """No verdict has come from the owner: say what is known here."""
         self._timer = None
-        under_way = self._attempt is not None
-        outcome = Outcome.UNKNOWN if under_way else Outcome.NOT_RUN
-        self._answer(outcome, Reason.DEADLINE, "the deadline has passed", status=504)
+        in_progress = self._attempt is not None
+        outcome = Outcome.UNKNOWN if in_progress else Outcome.NOT_RUN
+        self._respond(outcome, Reason.DEADLINE, "the deadline has passed", status=504)
 
     # -- endings --------------------------------------------------------------
 
-    def _answer(
+    def _respond(
         self,
         outcome: Outcome,
         reason: Reason,
@@ -512,12 +512,12 @@
         """Give the caller an answer of pearward's own."""
         if self._done:
             return
-        final = self._tally.final(outcome)
+        final = self._history.final(outcome)
         if final is not outcome:
             outcome, status = final, 0
         status = status or status_for(outcome)
         if status == 503 and not retry_s:
-            retry_s = LOST_RETRY_S
+            retry_s = DEFAULT_RETRY_S
         fields = {"outcome": outcome.value, "reason": reason.value, "detail": detail}
         body = json.dumps(fields).encode() + b"\n"
         lines = [
@@ -566,10 +566,10 @@
             self._retry.cancel()
         if self._attempt is not None:
             attempt = self._attempt
-            self._attempt_over()
+            self._detach_attempt()
             attempt.cancel()
         self._ingress.ended(self)
-        took_s = boot_time() - self._begun_at
+        took_s = boot_time() - self._started_at
         context = self._context
         if context is not None:
             self._ingress.metrics.request_ended(
@@ -582,7 +582,7 @@
         fields = {
             "outcome": outcome.value,
             "reason": reason.value if reason else "",
-            "attempts": self._tally.number,
+            "attempts": self._history.number,
             "took_ms": round(took_s * MS_PER_S, 3),
         }
         if self._action is not None:
--- a/packages/daemon/src/pearward_daemon/control.py
+++ b/packages/daemon/src/pearward_daemon/control.py
@@ -47,7 +47,7 @@
 
 TICK_S = 0.05
 DIGEST_S = 1.0
-EVIDENCE_S = 0.25
+LISTENER_CHECK_S = 0.25
 """Between looks at members whose address is another daemon's by now."""
 
 
@@ -82,7 +82,7 @@
         )
         self._agent = CellAgent(me, identity, self._cell, settings.lease)
         self._spread = RecordSpread(rng)
-        self._seeker = Seeker(
+        self._election = Seeker(
             reactor, platform, me, self._cell, rng, self._coordinator_found, self._role_taken
         )
         self._fallback = StoreFallback(platform, self, self._cell, me.incarnation, rng)
@@ -95,8 +95,8 @@
         self._peers: tuple[str, ...] = ()
         self._bootstrap_peers: tuple[str, ...] = ()
         self._next_digest = 0.0
-        self._next_evidence = 0.0
-        self._state_key: tuple[object, ...] = ()
+        self._next_listener_check = 0.0
+        self._serving_state: tuple[object, ...] = ()
         self._server = ServerWatch(settings.server, client, self._agent.set_health)
         self._loop = LoopingCall(self._tick)
         self._on_serving_changed: list[Callable[[], None]] = []
@@ -259,7 +259,7 @@
                 self._on_heartbeat(sender, message)
             case HeartbeatReply() if sender.address == self._agent.coordinator:
                 if message.coordinating:
-                    self._seeker.heard()
+                    self._election.heard()
                 else:
                     self._agent.set_coordinator("")
             case HeartbeatReply():
@@ -268,14 +268,14 @@
             case Push():
                 self._offer(message.key, message.version, message.value)
             case Digest():
-                for answer in self._spread.on_digest(message):
-                    self._send(sender.address, answer)
+                for reply in self._spread.on_digest(message):
+                    self._send(sender.address, reply)
             case Announce():
                 for pull in self._spread.on_announce(message, boot_time()):
                     self._send(sender.address, pull)
             case Pull():
-                for answer in self._spread.on_pull(message):
-                    self._send(sender.address, answer)
+                for reply in self._spread.on_pull(message):
+                    self._send(sender.address, reply)
             case _:
                 self._act(self._agent.receive(sender, message, boot_time()))
 
@@ -284,11 +284,11 @@
             return
         if self._writer is not None:
             self._writer.on_heartbeat(sender, heartbeat)
-            self._bring_up_to_date(sender, heartbeat)
+            self._send_newer_versions(sender, heartbeat)
         else:
             self._send(sender.address, HeartbeatReply(self._cell, False, 0))
 
-    def _bring_up_to_date(self, sender: PeerId, heartbeat: Heartbeat) -> None:
+    def _send_newer_versions(self, sender: PeerId, heartbeat: Heartbeat) -> None:
         """Send a member the versions that it does not act on yet."""
         for key, version in (
             (f"cell/{self._cell}", heartbeat.adopted),
@@ -341,9 +341,9 @@
         kind, _, name = key.partition("/")
         try:
             if kind == "table":
-                self._take_table(ServiceTable.from_bytes(name, value))
+                self._adopt_table(ServiceTable.from_bytes(name, value))
             elif kind == "cell":
-                self._take_record(CellRecord.from_bytes(value), value)
+                self._adopt_record(CellRecord.from_bytes(value), value)
             else:
                 return False
         except InvalidRecord as error:
@@ -354,7 +354,7 @@
             self._send(address, self._spread.announce(key))
         return True
 
-    def _take_table(self, table: ServiceTable) -> None:
+    def _adopt_table(self, table: ServiceTable) -> None:
         self._router.set_table(table)
         if table.service.name == self._service:
             self._agent.set_table_version(table.version)
@@ -363,7 +363,7 @@
         for callback in self._on_table:
             callback(table)
 
-    def _take_record(self, record: CellRecord, value: bytes) -> None:
+    def _adopt_record(self, record: CellRecord, value: bytes) -> None:
         self._router.set_record(record)
         self._update_peers()
         if record.cell == self._cell:
@@ -439,28 +439,28 @@
         alone = self._contact.is_alone(now)
         handicap_s = self._contact.handicap_s(now, lease_held=self.lease_held)
         may_replace = self._contact.may_replace_coordinator(now)
-        self._seeker.tick(self._rank(), handicap_s, may_replace=may_replace)
+        self._election.tick(self._rank(), handicap_s, may_replace=may_replace)
         self._fallback.tick(now, alone=alone)
         self._agent.set_unreachable(alone and self._is_idle_member())
         if self._writer is not None:
             self._writer.tick()
-            self._seek_evidence(now)
+            self._check_listeners(now)
         if now >= self._next_digest:
             self._next_digest = now + DIGEST_S * (0.75 + 0.5 * self._rng.random())
             for address in self._spread.choose_peers(self._peers, 1):
                 self._send(address, self._spread.short_digest())
-        self._notice_change()
+        self._notify_serving_change()
 
-    def _seek_evidence(self, now: float) -> None:
+    def _check_listeners(self, now: float) -> None:
         """Greet anew where another incarnation listens than the record names.
 
         What a connection from before the record's time has shown proves nothing of who
         came last, and while it stays up it greets no more.
         """
         record = self._agent.record
-        if record is None or now < self._next_evidence or self._pool is None:
+        if record is None or now < self._next_listener_check or self._pool is None:
             return
-        self._next_evidence = now + EVIDENCE_S
+        self._next_listener_check = now + LISTENER_CHECK_S
         for member in record.members:
             seen = self._listeners.get(member.peer)
             if seen is None or seen.incarnation == member.incarnation:
@@ -487,7 +487,7 @@
         member = record.member(self.incarnation) if record is not None else None
         return member is not None and not self.lease_held and not self.coordinating
 
-    def _notice_change(self) -> None:
+    def _notify_serving_change(self) -> None:
         """Let waiting requests look again when what may be served has changed."""
         ownership = self._agent.ownership
         key = (
@@ -496,8 +496,8 @@
             self._agent.lease.term,
             self.lease_held,
         )
-        if key != self._state_key:
-            self._state_key = key
+        if key != self._serving_state:
+            self._serving_state = key
             eliot.log_message(
                 "pearward:serving", cell=self._cell, version=ownership.adopted,
                 lease_held=self.lease_held, term=self._agent.lease.term,
@@ -519,7 +519,7 @@
                     for callback in self._on_abort:
                         callback(action.runs)
         if actions:
-            self._notice_change()
+            self._notify_serving_change()
 
     def _send(self, address: str, message: ControlMessage) -> None:
         if address == self._me.address:
@@ -535,7 +535,7 @@
         accepted = await self._server.grant(grant)
         self._act(self._agent.server_granted(grant, accepted, boot_time()))
         # Requests wait for this answer, also where nothing else follows from it.
-        self._notice_change()
+        self._notify_serving_change()
 
 
 def _listeners_at(record: CellRecord, address: str) -> frozenset[str]:
--- a/packages/daemon/src/pearward_daemon/coordinating.py
+++ b/packages/daemon/src/pearward_daemon/coordinating.py
@@ -30,9 +30,9 @@
 KEEP_ALIVE_S = 5.0
 ROLE_CHECK_S = 2.0
 """Between looks at who holds the role, so that a holder that was replaced steps back."""
-READ_AGAIN_S = 0.3
+READ_RETRY_S = 0.3
 """Between tries to read a record that the store did not give."""
-AWAITED_READ_S = 1.0
+RELEASE_READ_S = 1.0
 """Between reads of a record that waits for releases: an owner that its peers do not hear writes
 its own there. Moves end in less, so that most are never read for."""
 INSTANCE_POLL_S = 600.0
@@ -95,7 +95,7 @@
         self._next_role_check = 0.0
         self._next_poll = 0.0
         self._next_table = 0.0
-        self._next_awaited = 0.0
+        self._next_release_read = 0.0
         self._polling = False
         self._log = CoordinatorLog(cell)
 
@@ -153,11 +153,11 @@
             spawn(self._read_table())
         if self._writing:
             return
-        if self._is_outdated() or self._waits_for_releases(now):
+        if self._is_outdated() or self._is_release_read_due(now):
             self._writing = True
             spawn(self._catch_up())
         else:
-            self._consider(now)
+            self._plan(now)
 
     # -- the record -----------------------------------------------------------
 
@@ -170,7 +170,7 @@
                 self._loaded = True
             except PlatformUnavailable as error:
                 eliot.log_message("pearward:platform", call="load", error=str(error))
-                await sleep(self._reactor, READ_AGAIN_S)
+                await sleep(self._reactor, READ_RETRY_S)
 
     async def _read_record(self) -> None:
         pair = await self._platform.get(self.key)
@@ -200,26 +200,26 @@
         newest = max(known.version if known is not None else 0, self._core.newest_adopted)
         return newest > self._record.version
 
-    def _waits_for_releases(self, now: float) -> bool:
+    def _is_release_read_due(self, now: float) -> bool:
         """Return whether releases have been awaited since the record was last read for them."""
         if self._record is None or not self._record.shards.predecessors:
-            self._next_awaited = now + AWAITED_READ_S
+            self._next_release_read = now + RELEASE_READ_S
             return False
-        if now < self._next_awaited:
+        if now < self._next_release_read:
             return False
-        self._next_awaited = now + AWAITED_READ_S
+        self._next_release_read = now + RELEASE_READ_S
         return True
 
     async def _catch_up(self) -> None:
         """Read the record anew, and wait a little where the newer one is not to be had."""
         try:
-            await self._read_again()
+            await self._reread_record()
             if self._is_outdated():
-                await sleep(self._reactor, READ_AGAIN_S)
+                await sleep(self._reactor, READ_RETRY_S)
         finally:
             self._writing = False
 
-    async def _read_again(self) -> None:
+    async def _reread_record(self) -> None:
         """Read the record, and tell where it is another one than before."""
         before = self._record.version if self._record is not None else 0
         try:
@@ -231,14 +231,14 @@
         if version != before:
             eliot.log_message("pearward:record-read", cell=self._cell, version=version)
 
-    def _consider(self, now: float) -> None:
+    def _plan(self, now: float) -> None:
         """Write a new record where what has been heard calls for one."""
         if self._record is None or self._table is None:
             return
         self._writes += 1
         write_id = f"{self._me.incarnation}:{self._writes}"
         planned = self._core.plan(self._record, self._table, write_id, now)
-        self._log.believed(self._core.belief, self._record.version)
+        self._log.log_belief(self._core.belief, self._record.version)
         if planned is not None:
             self._writing = True
             spawn(self._write(planned))
@@ -248,24 +248,24 @@
         value = planned.to_bytes()
         try:
             await self._platform.swap(self.key, self._revision, value)
-            await self._settle(planned)
+            await self._confirm_write(planned)
         except CasConflict:
             # Either our own earlier write took effect, or another coordinator is at work.
-            await self._settle(planned)
+            await self._confirm_write(planned)
         except PlatformUnavailable as error:
             eliot.log_message("pearward:platform", call="write record", error=str(error))
             await sleep(self._reactor, 0.2)
-            await self._settle(planned)
+            await self._confirm_write(planned)
         finally:
             self._writing = False
 
-    async def _settle(self, planned: CellRecord) -> None:
+    async def _confirm_write(self, planned: CellRecord) -> None:
         """Read back what is in force after a write."""
         try:
             await self._read_record()
         except PlatformUnavailable as error:
             eliot.log_message("pearward:platform", call="read back", error=str(error))
-            await sleep(self._reactor, READ_AGAIN_S)
+            await sleep(self._reactor, READ_RETRY_S)
             return
         record = self._record
         if record is None or record.write_id == planned.write_id:
@@ -298,7 +298,7 @@
     def _table_changed(self, events: list[WatchEvent]) -> None:
         for event in events:
             if event.value is not None:
-                self._take_table(event.value)
+                self._adopt_table(event.value)
 
     async def _read_table(self) -> None:
         try:
@@ -309,9 +309,9 @@
             eliot.log_message("pearward:platform", call="read table", error=str(error))
             return
         if pair is not None:
-            self._take_table(pair.value)
+            self._adopt_table(pair.value)
 
-    def _take_table(self, value: bytes) -> None:
+    def _adopt_table(self, value: bytes) -> None:
         try:
             table = ServiceTable.from_bytes(self._service, value)
         except InvalidRecord as error:
--- a/packages/daemon/src/pearward_daemon/coordinator_log.py
+++ b/packages/daemon/src/pearward_daemon/coordinator_log.py
@@ -33,7 +33,7 @@
         )
         self._rows = rows
 
-    def believed(self, belief: CellBelief, version: int) -> None:
+    def log_belief(self, belief: CellBelief, version: int) -> None:
         """A plan was made from *belief* and the record of that version: tell it if it is news."""
         before, self._belief = self._belief, belief
         if belief == before:
--- a/packages/daemon/src/pearward_daemon/daemon.py
+++ b/packages/daemon/src/pearward_daemon/daemon.py
@@ -80,7 +80,7 @@
         )
         self._listener = PeerListener(self._me, self, reactor, limits.window_bytes)
         self._caller_port: Any = None
-        self._drain_began = 0.0
+        self._drain_started = 0.0
         self._stopped: Deferred[None] = Deferred()
         self._control.on_serving_changed(self._owner.recheck)
         self._control.on_abort(self._owner.abort)
@@ -121,23 +121,23 @@
 
     def drain(self) -> None:
         """Hand all work over, let what runs end, then stop; a second call changes nothing."""
-        if self._drain_began:
+        if self._drain_started:
             return
-        self._drain_began = boot_time()
+        self._drain_started = boot_time()
         eliot.log_message("pearward:draining", running=self._owner.busy)
         self._control.drain()
         self._reactor.callLater(DRAIN_CHECK_S, self._check_drained)
 
     def _check_drained(self) -> None:
         """Stop once nothing is left, or the limit for draining has passed."""
-        waited_s = boot_time() - self._drain_began
+        waited_s = boot_time() - self._drain_started
         over = waited_s >= self._settings.drain_limit_s
-        if over or (waited_s >= MIN_DRAIN_S and self._nothing_left()):
+        if over or (waited_s >= MIN_DRAIN_S and self._is_drained()):
             self._stop(waited_s, cut=self._owner.busy + self._ingress.open_requests)
             return
         self._reactor.callLater(DRAIN_CHECK_S, self._check_drained)
 
-    def _nothing_left(self) -> bool:
+    def _is_drained(self) -> bool:
         """Return whether nothing runs and every shard has a new owner that may serve."""
         if self._owner.busy or self._ingress.open_requests:
             return False
@@ -192,7 +192,7 @@
 
     def _missing(self) -> str:
         """Return what keeps this daemon from taking callers' requests, or nothing."""
-        if self._drain_began:
+        if self._drain_started:
             return "draining"
         if self._control.record is None:
             return "no assignment record yet"
--- a/packages/daemon/src/pearward_daemon/ingress.py
+++ b/packages/daemon/src/pearward_daemon/ingress.py
@@ -66,7 +66,7 @@
         self.request_limits = requests
         self.log_requests = log_requests
         self._log_sample = log_sample
-        self._until_logged = 0
+        self._until_sampled = 0
         self.rng = rng
         self.memory = RequestMemory(limits.remember_s, limits.remember_count)
         self._budgets: dict[str, RetryBudget] = {}
@@ -97,14 +97,14 @@
         for request in list(self._open):
             request.record_changed(record)
 
-    def draws_action(self) -> bool:
+    def sample_next(self) -> bool:
         """Return whether the next request is logged as an action of its own."""
         if self.log_requests not in (LogRequests.ALL, LogRequests.SAMPLED):
             return False
-        self._until_logged -= 1
-        if self._until_logged > 0:
+        self._until_sampled -= 1
+        if self._until_sampled > 0:
             return False
-        self._until_logged = self._log_sample
+        self._until_sampled = self._log_sample
         return True
 
     def budget(self, service: str) -> RetryBudget:
--- a/packages/daemon/src/pearward_daemon/logs.py
+++ b/packages/daemon/src/pearward_daemon/logs.py
@@ -26,7 +26,7 @@
     def __init__(self, descriptor: int) -> None:
         self._descriptor = descriptor
         self._lines: deque[bytes] = deque()
-        self._rest = b""
+        self._unwritten = b""
         self._dropped = 0
         os.set_blocking(descriptor, False)
 
@@ -59,14 +59,14 @@
     def flush(self) -> None:
         """Write what the descriptor takes now."""
         if self._lines:
-            self._rest += b"\n".join(self._lines) + b"\n"
+            self._unwritten += b"\n".join(self._lines) + b"\n"
             self._lines.clear()
-        while self._rest:
+        while self._unwritten:
             try:
-                written = os.write(self._descriptor, self._rest)
+                written = os.write(self._descriptor, self._unwritten)
             except OSError:
                 break
-            self._rest = self._rest[written:]
-        if len(self._rest) > MAX_LINES * 512:
-            self._dropped += self._rest.count(b"\n")
-            self._rest = b""
+            self._unwritten = self._unwritten[written:]
+        if len(self._unwritten) > MAX_LINES * 512:
+            self._dropped += self._unwritten.count(b"\n")
+            self._unwritten = b""
--- a/packages/daemon/src/pearward_daemon/main.py
+++ b/packages/daemon/src/pearward_daemon/main.py
@@ -59,13 +59,13 @@
     except CannotListenError as error:
         click.echo(f"pearwardd: {error}", err=True)
         sys.exit(EXIT_LISTEN)
-    _settle_garbage_collector()
+    _tune_garbage_collector()
     stopped.addBoth(lambda _: reactor.callLater(0.05, reactor.stop))
     _on_sigterm(daemon.drain)
     reactor.run(installSignalHandlers=False)
 
 
-def _settle_garbage_collector() -> None:
+def _tune_garbage_collector() -> None:
     """Keep what the start has built out of later collections.
 
     A full collection over all imported modules stops the loop for some 15 ms, which is
--- a/packages/daemon/src/pearward_daemon/metrics.py
+++ b/packages/daemon/src/pearward_daemon/metrics.py
@@ -47,7 +47,7 @@
         took_s: float,
     ) -> None:
         """Time a caller's request."""
-        key = (service, request_class, self._bounded(tenant), outcome)
+        key = (service, request_class, self._tenant_label(tenant), outcome)
         attributes = self._attributes.get(key)
         if attributes is None:
             attributes = self._attributes[key] = {
@@ -76,7 +76,7 @@
         """Return everything in Prometheus's text format."""
         return generate_latest(REGISTRY)
 
-    def _bounded(self, tenant: str) -> str:
+    def _tenant_label(self, tenant: str) -> str:
         """Return the tenant's name as long as there are few, so that memory stays bounded."""
         if tenant in self._tenants:
             return tenant
--- a/packages/daemon/src/pearward_daemon/owned_request.py
+++ b/packages/daemon/src/pearward_daemon/owned_request.py
@@ -25,7 +25,7 @@
 __all__ = ["OwnedRequest"]
 
 MS_PER_S = 1000
-SMALL_BODY = 65_536
+MAX_BUFFERED_BODY = 65_536
 """A body of at most this length is waited for before the server is troubled with it."""
 GATEWAY_TIMEOUT = 504
 PRECONDITION_FAILED = 412
@@ -60,7 +60,7 @@
         self._run = 0
         self._connection: ServerConnection | None = None
         self._sent = False
-        self._answered = False
+        self._response_started = False
         self._done = False
         self._held_head: ResponseHead | None = None
         """The head of a short answer, kept until the body is whole."""
@@ -81,7 +81,7 @@
             return
         wait_s = max(0.0, self._head.deadline_ms / MS_PER_S)
         self._timer = self._reactor.callLater(wait_s, self._deadline_passed)
-        if self._body_ended or not 0 <= self._head.body_length <= SMALL_BODY:
+        if self._body_ended or not 0 <= self._head.body_length <= MAX_BUFFERED_BODY:
             self.admit()
 
     def admit(self) -> None:
@@ -107,9 +107,9 @@
             return
         self._ticket = ticket
         if decision is Decision.START:
-            self.slot_given()
+            self.slot_granted()
 
-    def slot_given(self) -> None:
+    def slot_granted(self) -> None:
         """Get a connection to the server."""
         connection = self._owner.client.take()
         if connection is not None:
@@ -139,7 +139,7 @@
         if not self._streaming_body:
             if data:
                 self._body.append(data)
-            if ended and 0 <= self._head.body_length <= SMALL_BODY:
+            if ended and 0 <= self._head.body_length <= MAX_BUFFERED_BODY:
                 self.admit()
             return
         assert self._connection is not None
@@ -159,14 +159,14 @@
 
     def writable(self) -> None:
         """The requester can take more of the answer."""
-        if self._connection is not None and self._answered and not self._done:
+        if self._connection is not None and self._response_started and not self._done:
             self._connection.resume()
 
     # -- the server ---------------------------------------------------------
 
     def _no_connection(self, failure: Failure) -> None:
         failure.trap(ServerUnreachable)
-        self._owner.unreachable()
+        self._owner.server_unreachable()
         self._refuse_not_run(Reason.UNREACHABLE, detail=failure.getErrorMessage())
 
     def _send(self, connection: ServerConnection) -> None:
@@ -181,7 +181,7 @@
             self._refuse_not_run(Reason.NOT_READY, retry_after_s=NOT_READY_RETRY_S)
             return
         if not self._head.repeatable:
-            refused = self._owner.first_run(self._head, permit, boot_time())
+            refused = self._owner.register_first_run(self._head, permit, boot_time())
             if refused is not None:
                 connection.abort()
                 self._refuse(refused)
@@ -225,7 +225,7 @@
         """The connection to the server ended before the answer was whole."""
         if self._done:
             return
-        self._owner.unreachable()
+        self._owner.server_unreachable()
         self._fail_after_sent(Reason.SERVER_FAILED, detail)
 
     def accepts(self, headers: bytes) -> bool:
@@ -234,7 +234,7 @@
 
     def answer_head(self, status: int, headers: bytes, length: int) -> None:
         """The server answers: a short answer is kept until it is whole."""
-        if self._done or not self._may_answer():
+        if self._done or not self._check_permit():
             return
         if status == PRECONDITION_FAILED and _NOT_RUN_LINE in headers:
             self._fenced = True
@@ -252,7 +252,7 @@
             self._held_head = head
             return
         self._cancel_timer()
-        self._answered = True
+        self._response_started = True
         self._reply.respond(head, ended=False)
 
     def answer_data(self, data: bytes) -> None:
@@ -262,7 +262,7 @@
         if self._held_head is not None:
             self._held_body.append(data)
             return
-        if self._may_answer() and not self._reply.send_data(data):
+        if self._check_permit() and not self._reply.send_data(data):
             assert self._connection is not None
             self._connection.pause()
 
@@ -272,10 +272,10 @@
             return
         if self._fenced:
             self._forget_run()
-            self._owner.fenced()
+            self._owner.epoch_fenced()
             self._refuse_not_run(Reason.FENCED)
             return
-        if not self._may_answer():
+        if not self._check_permit():
             return
         if self._held_head is not None:
             body = b"".join(self._held_body)
@@ -284,7 +284,7 @@
             self._reply.send_data(b"", ended=True)
         self._finish(Outcome.SERVED, None)
 
-    def _may_answer(self) -> bool:
+    def _check_permit(self) -> bool:
         """Return whether the permit still holds; if not, the answer is withheld."""
         assert self._permit is not None
         if self._owner.still_good(self._permit):
@@ -326,7 +326,7 @@
         """Say that the request may have run, or break off an answer that was begun."""
         if self._done:
             return
-        if self._answered:
+        if self._response_started:
             self._reply.reset(ResetCode.BROKEN)
             self._finish(Outcome.UNKNOWN, reason)
         else:
@@ -357,7 +357,7 @@
         if self._run:
             self._owner.run_finished(self._run)
         if self._ticket is not None:
-            self._owner.slot_freed(self._ticket)
+            self._owner.release_slot(self._ticket)
         if self._action is not None:
             self._action.add_success_fields(
                 outcome=outcome.value, reason=reason.value if reason else ""
--- a/packages/daemon/src/pearward_daemon/owner.py
+++ b/packages/daemon/src/pearward_daemon/owner.py
@@ -180,7 +180,7 @@
             self._queued[ticket] = request
         return decision
 
-    def slot_freed(self, ticket: Ticket) -> None:
+    def release_slot(self, ticket: Ticket) -> None:
         """Give a slot or a place in the queue back."""
         self._queued.pop(ticket, None)
         self._admission.finish(ticket, boot_time())
@@ -201,7 +201,9 @@
         """Return whether work under *permit* may go on."""
         return self._ownership.still_good(permit, boot_time())
 
-    def first_run(self, head: RequestHead, permit: Permit, now: float) -> ResponseHead | None:
+    def register_first_run(
+        self, head: RequestHead, permit: Permit, now: float
+    ) -> ResponseHead | None:
         """Note a not-repeatable request as handed over; return a refusal if it may not be."""
         request_id = scoped_id(head.tenant, head.request_id)
         known = self._memory.find(request_id, now)
@@ -228,11 +230,11 @@
         """Forget a not-repeatable request that certainly did not run."""
         self._memory.forget(scoped_id(head.tenant, head.request_id))
 
-    def fenced(self) -> None:
+    def epoch_fenced(self) -> None:
         """The server refused an epoch: grant anew."""
         self._control.server_forgot()
 
-    def unreachable(self) -> None:
+    def server_unreachable(self) -> None:
         """The server takes no connection."""
         self._control.server_suspect()
 
@@ -264,4 +266,4 @@
                 request.expired_in_queue()
         for ticket in started:
             if (request := self._queued.pop(ticket, None)) is not None:
-                request.slot_given()
+                request.slot_granted()
--- a/packages/daemon/src/pearward_daemon/seeking.py
+++ b/packages/daemon/src/pearward_daemon/seeking.py
@@ -22,7 +22,7 @@
 """Seconds after which the store drops the role's key of a holder that has ended: three renewals."""
 COORDINATOR_SILENCE_S = 0.7
 """Time without an answer after which a coordinator is looked for: nearly three heartbeats."""
-CHANCE_S = 0.4
+HOLDER_REPLY_S = 0.4
 """Time that a holder which the store names is given to answer before it is replaced."""
 RANK_DELAY_S = 0.12
 """Between one member's look and the next one's, so that the first to look has taken the role."""
@@ -73,9 +73,9 @@
         self._on_found = on_found
         self._on_taken = on_taken
         self._silent_holder = ""
-        self._found = ""
+        self._holder = ""
         """Incarnation of the holder that heartbeats go to."""
-        self._answered = False
+        self._holder_replied = False
         """Whether that one has answered: its silence then needs no second look."""
         self._seeking = False
         self._may_replace = True
@@ -87,7 +87,7 @@
         """The coordinator answered a heartbeat."""
         self._last_reply = boot_time()
         self._silent_holder = ""
-        self._answered = True
+        self._holder_replied = True
         self._backoff_s = SEEK_BACKOFF_MIN_S
 
     def tick(self, rank: int, handicap_s: float, *, may_replace: bool) -> None:
@@ -110,29 +110,29 @@
         try:
             pair = await self._platform.get(f"coordinator/{self._cell}")
             role = role_holder(pair)
-            gone = self._found if self._answered else self._silent_holder
-            if role is not None and role.incarnation not in ("", gone):
+            silent = self._holder if self._holder_replied else self._silent_holder
+            if role is not None and role.incarnation not in ("", silent):
                 # Give the named one a chance to answer before it is replaced.
-                self._silent_holder = self._found = role.incarnation
-                self._answered = False
-                self._last_reply = boot_time() - COORDINATOR_SILENCE_S + CHANCE_S
+                self._silent_holder = self._holder = role.incarnation
+                self._holder_replied = False
+                self._last_reply = boot_time() - COORDINATOR_SILENCE_S + HOLDER_REPLY_S
                 self._on_found(role.address)
                 return
             foreign = role is not None and role.incarnation != self._me.incarnation
             if role is not None and foreign and not self._may_replace:
-                self._leave(role)
+                self._defer_to_holder(role)
                 return
             await self._take(role.revision if role is not None else 0)
         except CasConflict:
             # Somebody else was quicker: look at once who.
-            self._silent_holder, self._answered = "", False
+            self._silent_holder, self._holder_replied = "", False
         except PlatformUnavailable as error:
             eliot.log_message("pearward:platform", call="seek coordinator", error=str(error))
-            self._wait()
+            self._back_off()
         finally:
             self._seeking = False
 
-    def _leave(self, role: Role) -> None:
+    def _defer_to_holder(self, role: Role) -> None:
         """Leave the role to a holder that does not answer here.
 
         It is this daemon that hears or is heard by nobody. The holder coordinates the others, or
@@ -147,11 +147,11 @@
         value = json.dumps({"incarnation": self._me.incarnation, "address": self._me.address})
         await self._platform.swap(f"coordinator/{self._cell}", revision, value.encode(), lease)
         eliot.log_message("pearward:coordinator-taken", cell=self._cell)
-        self._found = self._me.incarnation
+        self._holder = self._me.incarnation
         self.heard()
         self._on_taken(lease)
 
-    def _wait(self) -> None:
+    def _back_off(self) -> None:
         """Ask less and less often while the platform is down, and not all at the same time."""
         self._not_before = boot_time() + self._backoff_s * (0.5 + self._rng.random())
         self._backoff_s = min(SEEK_BACKOFF_MAX_S, self._backoff_s * 2)
--- a/packages/daemon/src/pearward_daemon/service_finder.py
+++ b/packages/daemon/src/pearward_daemon/service_finder.py
@@ -22,9 +22,9 @@
 
 TABLE, CELL = "table/", "cell/"
 MS_PER_S = 1000
-LIST_AGAIN_S = 1.0
+LIST_RETRY_S = 1.0
 """Between tries to read the list of services at the start."""
-SPREAD_S = 2.0
+PEER_WAIT_S = 2.0
 """Time that peers have to bring what the list names, two rounds of digests, before it is read."""
 
 
@@ -45,8 +45,8 @@
         self._reactor = reactor
         self._platform = platform
         self._rows = rows
-        self._decisions = ServiceLookups()
-        self._asking: dict[str, list[Deferred[Found]]] = {}
+        self._lookups = ServiceLookups()
+        self._pending_lookups: dict[str, list[Deferred[Found]]] = {}
         self._listed: tuple[str, ...] | None = None
         self._unreadable: set[str] = set()
         self._running = False
@@ -66,10 +66,10 @@
         """Return what this daemon still has to learn of services, or nothing."""
         if self._listed is None:
             return "the services are not listed yet"
-        unknown = self._unknown()
+        unknown = self._unknown_services()
         return f"service {unknown[0]!r} is not known yet" if unknown else ""
 
-    def _unknown(self) -> list[str]:
+    def _unknown_services(self) -> list[str]:
         """Return the listed services of which nothing has come that can be read."""
         return [
             name
@@ -83,13 +83,13 @@
                 keys = await self._platform.names(TABLE)
             except PlatformUnavailable as error:
                 eliot.log_message("pearward:platform", call="list services", error=str(error))
-                await sleep(self._reactor, LIST_AGAIN_S)
+                await sleep(self._reactor, LIST_RETRY_S)
             else:
                 self._listed = tuple(key.removeprefix(TABLE) for key in keys)
                 eliot.log_message("pearward:services-listed", services=len(self._listed))
-        while self._running and self._unknown():
-            await sleep(self._reactor, SPREAD_S)
-            for name in self._unknown():
+        while self._running and self._unknown_services():
+            await sleep(self._reactor, PEER_WAIT_S)
+            for name in self._unknown_services():
                 if await self.find(name) is Found.ABSENT:
                     self._listed = tuple(other for other in self._listed or () if other != name)
 
@@ -99,19 +99,19 @@
         """Return a Deferred of what the store says of a service that is not known here."""
         result: Deferred[Found] = Deferred()
         now = boot_time()
-        if self._decisions.known_absent(service, now):
+        if self._lookups.known_absent(service, now):
             result.callback(Found.ABSENT)
-        elif service in self._asking:
-            self._asking[service].append(result)
-        elif not self._decisions.take(now):
+        elif service in self._pending_lookups:
+            self._pending_lookups[service].append(result)
+        elif not self._lookups.take(now):
             eliot.log_message("pearward:service-lookup", service=service, found="not asked: rate")
             result.callback(Found.UNTOLD)
         else:
-            self._asking[service] = [result]
-            spawn(self._ask(service))
+            self._pending_lookups[service] = [result]
+            spawn(self._run_lookup(service))
         return result
 
-    async def _ask(self, service: str) -> None:
+    async def _run_lookup(self, service: str) -> None:
         began = boot_time()
         found, error = Found.UNTOLD, ""
         try:
@@ -123,7 +123,7 @@
             error = str(failed)
         finally:
             # Also after a fault of another kind: who waits must not wait for the deadline.
-            waiting = self._asking.pop(service)
+            waiting = self._pending_lookups.pop(service)
             eliot.log_message(
                 "pearward:service-lookup",
                 service=service,
@@ -138,11 +138,11 @@
         """Read a service's rows, and who is in its cell where that is not known either."""
         rows = await self._platform.get(TABLE + service)
         if rows is None:
-            self._decisions.said_absent(service, boot_time())
+            self._lookups.said_absent(service, boot_time())
             return Found.ABSENT
         self._rows.value_found(rows.key, rows.value)
         if ServiceTable.from_bytes(service, rows.value).removed:
-            self._decisions.said_absent(service, boot_time())
+            self._lookups.said_absent(service, boot_time())
             return Found.ABSENT
         if not self._rows.knows(CELL + service):
             record = await self._platform.get(CELL + service)
--- a/packages/daemon/src/pearward_daemon/store_fallback.py
+++ b/packages/daemon/src/pearward_daemon/store_fallback.py
@@ -24,11 +24,11 @@
 
 __all__ = ["RecordHolder", "StoreFallback"]
 
-UNTOLD_S = 1.5
+RELEASE_REPORT_S = 1.5
 """Time for which a record may wait for a release that was given before the owner writes it:
 heirs hear of it at once and their coordinator within a heartbeat (0.25 s)."""
-LOOK_MIN_S = 0.25
-LOOK_MAX_S = 15.0
+READ_INTERVAL_MIN_S = 0.25
+READ_INTERVAL_MAX_S = 15.0
 """Between reads of the record by a daemon that is alone: few while a whole network is down."""
 
 
@@ -60,33 +60,33 @@
         self._incarnation = incarnation
         self._rng = rng
         self._busy = False
-        self._untold_since: float | None = None
-        self._pause_s = LOOK_MIN_S
-        self._next_look = 0.0
+        self._unreported_since: float | None = None
+        self._read_interval_s = READ_INTERVAL_MIN_S
+        self._next_read = 0.0
         self._writes = 0
 
     def tick(self, now: float, *, alone: bool) -> None:
         """Look at the stored record if this daemon is *alone*, or its release stays unheard."""
-        if not alone and not self._is_unheard(now):
-            self._pause_s = LOOK_MIN_S
+        if not alone and not self._is_release_unreported(now):
+            self._read_interval_s = READ_INTERVAL_MIN_S
             return
-        if self._busy or now < self._next_look:
+        if self._busy or now < self._next_read:
             return
         self._busy = True
-        spawn(self._look())
+        spawn(self._read_record())
 
-    def _is_unheard(self, now: float) -> bool:
+    def _is_release_unreported(self, now: float) -> bool:
         """Return whether the record has waited for long for what was given up already."""
         record = self._holder.ownership.record
         awaited = 0 if record is None else awaited_release(record, self._incarnation)
         if not awaited or awaited > self._holder.ownership.released:
-            self._untold_since = None
+            self._unreported_since = None
             return False
-        if self._untold_since is None:
-            self._untold_since = now
-        return now - self._untold_since >= UNTOLD_S
+        if self._unreported_since is None:
+            self._unreported_since = now
+        return now - self._unreported_since >= RELEASE_REPORT_S
 
-    async def _look(self) -> None:
+    async def _read_record(self) -> None:
         """Act on the stored record; write the release that it still waits for."""
         try:
             pair = await self._platform.get(self._key)
@@ -100,8 +100,10 @@
             eliot.log_message("pearward:invalid-record", key=self._key, error=str(error))
         finally:
             self._busy = False
-            self._next_look = boot_time() + self._pause_s * (0.75 + 0.5 * self._rng.random())
-            self._pause_s = min(LOOK_MAX_S, self._pause_s * 2)
+            self._next_read = boot_time() + self._read_interval_s * (
+                0.75 + 0.5 * self._rng.random()
+            )
+            self._read_interval_s = min(READ_INTERVAL_MAX_S, self._read_interval_s * 2)
 
     async def _act_on(self, pair: KeyValue) -> None:
         record = CellRecord.from_bytes(pair.value)
@@ -109,7 +111,7 @@
         ownership = self._holder.ownership
         if awaited_release(record, self._incarnation) > ownership.released:
             # Requests still run, or the server is being told: soon to be looked at again.
-            self._pause_s = LOOK_MIN_S
+            self._read_interval_s = READ_INTERVAL_MIN_S
             return
         self._writes += 1
         write_id = f"{self._incarnation}:release:{self._writes}"
