--- a/packages/daemon/src/pearward_daemon/control.py
+++ b/packages/daemon/src/pearward_daemon/control.py
@@ -482,7 +482,7 @@
         return len(record.members) if index is None else index
 
     def _is_idle_member(self) -> bool:
-        """Return whether the record lists this daemon as a member that holds no lease.
+        """Return whether the record lists this daemon as a member while it holds no lease.
 
         False while it coordinates: an isolated coordinator is the only member left.
         """
--- a/packages/daemon/src/pearward_daemon/owned_request.py
+++ b/packages/daemon/src/pearward_daemon/owned_request.py
@@ -26,7 +26,7 @@
 
 MS_PER_S = 1000
 MAX_BUFFERED_BODY = 65_536
-"""Bodies of at most this length are buffered whole before the request asks for a slot."""
+"""Bodies of at most this length are buffered completely before a slot is requested."""
 GATEWAY_TIMEOUT = 504
 PRECONDITION_FAILED = 412
 NOT_READY_RETRY_S = 0.5
