--- a/packages/daemon/src/pearward_daemon/attempts.py
+++ b/packages/daemon/src/pearward_daemon/attempts.py
@@ -69,7 +69,7 @@
 
     def reset_received(self, code: ResetCode) -> None:
         """Fail the attempt, since the owner reset the stream."""
-        self._fail(Reason.SERVER_FAILED, "the owner reset the response")
+        self._fail(Reason.SERVER_FAILED, "the owner broke the answer off")
 
     def connection_lost(self) -> None:
         """Fail the attempt, since the connection to the owner's daemon was lost."""
@@ -147,7 +147,7 @@
         listener, self._listener = self._listener, None
         if listener is not None and code is ResetCode.BROKEN:
             listener.attempt_failed(
-                Outcome.UNKNOWN, Reason.SERVER_FAILED, "the server ended the response early"
+                Outcome.UNKNOWN, Reason.SERVER_FAILED, "the server broke the answer off"
             )
 
 
--- a/packages/daemon/src/pearward_daemon/caller_request.py
+++ b/packages/daemon/src/pearward_daemon/caller_request.py
@@ -128,7 +128,7 @@
             self._request.resume_body()
         service = context.service
         if found is Found.ABSENT:
-            detail = f"service {service!r} does not exist"
+            detail = f"there is no service {service!r}"
             self._refuse(Reason.UNKNOWN_SERVICE, detail, NOT_FOUND)
             return
         try:
@@ -137,7 +137,7 @@
             if found is Found.THERE:
                 self._refuse(Reason.UNKNOWN_SERVICE, str(error), NOT_FOUND)
             else:
-                detail = f"service {service!r} is unknown and could not be looked up in the store"
+                detail = f"service {service!r} is not known here, and the store was not asked"
                 self._refuse(Reason.NOT_READY, detail, UNAVAILABLE)
             return
         self._admit(context, table)
@@ -148,7 +148,7 @@
         self._context = context
         self._keyed = table.service.kind is Kind.KEYED
         if self._keyed and not context.key:
-            detail = f"service {context.service!r} is keyed: Pearward-Key is required"
+            detail = f"service {context.service!r} is divided by key: Pearward-Key is required"
             self._refuse(Reason.BAD_REQUEST, detail, BAD_REQUEST)
             return
         self._class = (
@@ -427,7 +427,7 @@
         if member is None or member.state is MemberState.RETIRED:
             self._attempt.cancel()
             self.attempt_failed(
-                Outcome.UNKNOWN, Reason.CONNECTION_LOST, "the owner's daemon left the cell"
+                Outcome.UNKNOWN, Reason.CONNECTION_LOST, "the owner's daemon has been given up"
             )
 
     def _handle_refusal(self, head: ResponseHead) -> None:
--- a/packages/daemon/src/pearward_daemon/owner.py
+++ b/packages/daemon/src/pearward_daemon/owner.py
@@ -208,14 +208,14 @@
         request_id = scoped_id(head.tenant, head.request_id)
         known = self._memory.find(request_id, now)
         if known is not None:
-            detail = f"first response: {known.status}" if known.status else "no response yet"
+            detail = f"first answer: {known.status}" if known.status else "first answer: none yet"
             return refusal(Outcome.ALREADY_RUN, Reason.DUPLICATE, status=409, detail=detail)
         if head.prior_age_ms and now - head.prior_age_ms / MS_PER_S < permit.granted_at:
             return refusal(Outcome.UNKNOWN, Reason.NOT_SEEN_BEFORE_GRANT, status=502)
         if not self._memory.has_room(now):
             return refusal(
                 Outcome.NOT_RUN, Reason.OVERLOADED, status=503, retry_after_s=1.0,
-                detail="too many request ids are remembered",
+                detail="no room to remember the request id",
             )  # fmt: skip
         self._memory.remember(request_id, now)
         return None
