--- a/packages/daemon/src/pearward_daemon/caller_request.py
+++ b/packages/daemon/src/pearward_daemon/caller_request.py
@@ -1,4 +1,4 @@
-"""One caller's request at its ingress, over all its attempts, to one final answer."""
+"""One caller's request at its ingress: all its attempts and the final response."""
 
 from __future__ import annotations
 
@@ -41,9 +41,9 @@
 __all__ = ["RoutedRequest"]
 
 MS_PER_S = 1000
-ANSWER_GRACE_S = 0.05
-"""Time after the deadline for the owner's own verdict to arrive."""
-LOST_RETRY_S = 0.2
+RESPONSE_GRACE_S = 0.05
+"""Time after the deadline for which the owner's own result is awaited."""
+DEFAULT_RETRY_S = 0.2
 BAD_REQUEST = 400
 NOT_FOUND = 404
 UNAVAILABLE = 503
@@ -51,7 +51,7 @@
 
 
 class RoutedRequest:
-    """One caller's request, over all its attempts."""
+    """Handles one caller's request over all its attempts."""
 
     def __init__(self, ingress: Ingress, request: CallerRequest, body_length: int | None) -> None:
         self._ingress = ingress
@@ -63,21 +63,21 @@
         self._request_id = b""
         self._prior_age_ms = 0
         self._headers = b""
-        self._begun_at = 0.0
+        self._started_at = 0.0
         self._deadline = 0.0
         self._body: list[bytes] = []
         self._body_size = 0
         self._body_ended = False
         self._body_forwarded = False
-        """Whether chunks go straight on and are no longer kept."""
+        """Whether chunks are forwarded at once and are no longer buffered for a retry."""
         self._attempt: AttemptStream | None = None
         self._target = ""
-        self._tally = AttemptHistory()
+        self._history = AttemptHistory()
         self._avoid: set[str] = set()
-        self._refusal: tuple[Reason, str, int] | None = None
-        """What to answer once the body has come."""
+        self._pending_refusal: tuple[Reason, str, int] | None = None
+        """Reason, detail and status of a refusal that is sent once the body has been read."""
         self._finding_service = False
-        self._answering = False
+        self._response_started = False
         self._done = False
         self._paused = False
         self._unconsumed = 0
@@ -88,9 +88,9 @@
     # -- the caller's side ----------------------------------------------------
 
     def begin(self) -> None:
-        """Read the headers; a small body is waited for, a large one is streamed."""
+        """Read the headers and route the request; a short body is buffered first."""
         ingress = self._ingress
-        self._begun_at = boot_time()
+        self._started_at = boot_time()
         try:
             headers = self._request.header_values()
             context = read_context(self._request.method, headers.get, ingress.request_limits)
@@ -109,18 +109,18 @@
             self._admit(context, table)
 
     def _find_service(self, context: RequestContext) -> None:
-        """Ask the store for a service that is not known here, while the body comes.
+        """Look up a service in the store that this daemon does not have, as the body arrives.
 
-        A daemon that has just started, or that has not heard of a new service yet, knows less
-        than there is: of 5,500 requests to 18 daemons that had just become ready, 11 to 16 got
-        a final 404 for services that were there.
+        A daemon that has just started may not have received all services, and a new service
+        may not have reached it yet: without the lookup, 11 to 16 of 5,500 requests to 18
+        daemons that had just become ready got a final 404 for services that existed.
         """
         self._finding_service = True
         found = self._ingress.control.finder.find(context.service)
         found.addCallback(self._service_found, context)
 
     def _service_found(self, found: LookupResult, context: RequestContext) -> None:
-        """Go on with a service that is there; a name is wrong only by the store's own word."""
+        """Continue if the service exists; only the store's own reply counts as its absence."""
         self._finding_service = False
         if self._done:
             return
@@ -143,7 +143,7 @@
         self._admit(context, table)
 
     def _admit(self, context: RequestContext, table: ServiceTable) -> None:
-        """Take a request of a known service; a small body is waited for."""
+        """Admit a request of a known service; a short body is buffered before the first attempt."""
         ingress = self._ingress
         self._context = context
         self._keyed = table.service.kind is Kind.KEYED
@@ -155,7 +155,7 @@
             table.service.default_class if context.request_class is None else context.request_class
         )
         self._identify(context)
-        if ingress.draws_action():
+        if ingress.sample_next():
             self._action = eliot.start_task(
                 action_type="pearward:request",
                 service=context.service,
@@ -173,17 +173,17 @@
     def _refuse(self, reason: Reason, detail: str, status: int) -> None:
         """Refuse the request, after its body if that is short.
 
-        An answer in the middle of a body ends the connection, and its reset may
-        overtake the answer.
+        A response in the middle of a body closes the connection, and the TCP reset may
+        reach the caller before the response.
         """
         if not self._body_ended and 0 < self._body_length <= self._ingress.limits.replay_bytes:
-            self._refusal = (reason, detail, status)
+            self._pending_refusal = (reason, detail, status)
         else:
-            self._answer(Outcome.NOT_RUN, reason, detail, status=status)
+            self._respond(Outcome.NOT_RUN, reason, detail, status=status)
 
     def body_received(self, data: bytes) -> None:
-        """Keep a chunk, or pass it on."""
-        if self._done or self._refusal is not None:
+        """Buffer a chunk of the body, or forward it."""
+        if self._done or self._pending_refusal is not None:
             return
         if self._body_forwarded:
             self._forward(data, ended=False)
@@ -194,74 +194,74 @@
             if self._body_size > self._ingress.limits.replay_bytes:
                 self._request.pause_body()
             return
-        if self._tally.number or self._body_size <= self._ingress.limits.replay_bytes:
+        if self._history.number or self._body_size <= self._ingress.limits.replay_bytes:
             return
         if self._attempt is None:
-            # Longer than what is kept for another attempt: go on as a stream.
+            # The body is too long to be buffered for a retry: stream it.
             self._try()
 
     def body_ended(self) -> None:
-        """The body is whole."""
+        """Process the end of the body."""
         if self._done:
             return
         self._body_ended = True
-        if self._refusal is not None:
-            reason, detail, status = self._refusal
-            self._answer(Outcome.NOT_RUN, reason, detail, status=status)
+        if self._pending_refusal is not None:
+            reason, detail, status = self._pending_refusal
+            self._respond(Outcome.NOT_RUN, reason, detail, status=status)
         elif self._finding_service:
             return
         elif self._body_forwarded:
             self._forward(b"", ended=True)
-        elif not self._tally.number:
+        elif not self._history.number:
             self._try()
 
     def caller_lost(self) -> None:
-        """The caller went away: cancel along the path."""
+        """Cancel the request, since the caller has disconnected."""
         if not self._done:
             self._finish(Outcome.UNKNOWN, Reason.CANCELLED)
 
     def pause(self) -> None:
-        """The caller is slow."""
+        """Stop extending the owner's window, since the caller reads slowly."""
         self._paused = True
 
     def resume(self) -> None:
-        """The caller can take more."""
+        """Extend the owner's window again, since the caller can receive more."""
         self._paused = False
         if self._attempt is not None and self._unconsumed:
             count, self._unconsumed = self._unconsumed, 0
             self._attempt.consumed(count)
 
     def _identify(self, context: RequestContext) -> None:
-        """Settle the request id and how long ago it was first seen."""
+        """Set the request id and the time since it was first seen."""
         self._request_id = context.request_id or b"%x" % self._ingress.rng.getrandbits(96)
         self._prior_age_ms = context.age_ms
         if context.repeatable or not context.request_id:
             return
         memory = self._ingress.memory
         scoped = scoped_id(context.tenant, context.request_id)
-        known = memory.find(scoped, self._begun_at)
+        known = memory.find(scoped, self._started_at)
         if known is not None:
-            age_ms = max(1, int((self._begun_at - known.first_seen) * MS_PER_S))
+            age_ms = max(1, int((self._started_at - known.first_seen) * MS_PER_S))
             self._prior_age_ms = max(self._prior_age_ms, age_ms)
-        elif memory.has_capacity(self._begun_at):
-            memory.remember(scoped, self._begun_at)
+        elif memory.has_capacity(self._started_at):
+            memory.remember(scoped, self._started_at)
 
     def _start_timer(self, context: RequestContext) -> None:
         wait_s = context.deadline_ms / MS_PER_S
-        self._deadline = self._begun_at + wait_s
+        self._deadline = self._started_at + wait_s
         self._timer = self._ingress.reactor.callLater(
-            wait_s + ANSWER_GRACE_S, self._deadline_passed
+            wait_s + RESPONSE_GRACE_S, self._deadline_passed
         )
 
     # -- attempts -------------------------------------------------------------
 
     def _try(self) -> None:
-        """Make an attempt."""
+        """Start an attempt."""
         self._retry = None
         if self._done:
             return
         assert self._context is not None
-        self._tally.begun()
+        self._history.begun()
         try:
             route = self._ingress.router.route(
                 self._context.service, self._context.key, self._avoid
@@ -296,7 +296,7 @@
         if self._done:
             return
         if connection.peer is not None and connection.peer.incarnation != self._target:
-            # The address has a new daemon already; the route is out of date.
+            # Another incarnation already listens at the address: the route is outdated.
             detail = f"{self._target} has been replaced"
             self.attempt_failed(Outcome.NOT_RUN, Reason.UNREACHABLE, detail)
             return
@@ -314,7 +314,7 @@
             self.attempt_failed(Outcome.NOT_RUN, Reason.UNREACHABLE, failure.getErrorMessage())
 
     def _short_body(self) -> bytes | None:
-        """Return the body if it is whole and travels with the head."""
+        """Return the body if it is complete and short enough to be sent with the head."""
         if not self._body_ended or self._body_size > MAX_INLINE_BODY:
             return None
         return b"".join(self._body)
@@ -345,7 +345,7 @@
         )
 
     def _send_body(self, attempt: AttemptStream) -> None:
-        """Send what is here of the body, and stream the rest if it is too long to keep."""
+        """Send the body so far, and stream the rest if it is too long to be buffered."""
         if self._attempt is not attempt:
             return
         data = b"".join(self._body)
@@ -358,24 +358,24 @@
             self._request.pause_body()
 
     def _forward(self, data: bytes, *, ended: bool) -> None:
-        """Pass a chunk of a streamed body on."""
+        """Forward a chunk of a streamed body."""
         if self._attempt is None:
             return
         if not self._attempt.send_data(data, ended=ended) and not ended:
             self._request.pause_body()
 
-    # -- what becomes of an attempt -------------------------------------------
+    # -- results of an attempt ------------------------------------------------
 
     def attempt_writable(self) -> None:
-        """The owner takes more of the body."""
+        """Read more of the body, since the owner can receive more."""
         self._request.resume_body()
 
     def answer_head(self, head: ResponseHead, ended: bool, body: bytes) -> None:
-        """The server's answer begins or is whole, or the owner refuses."""
+        """Process the head of the response, or the whole response, or the owner's refusal."""
         if self._done:
             return
         if head.outcome is not Outcome.SERVED:
-            self._refused(head)
+            self._handle_refusal(head)
             return
         headers = b"%b%b%b: %b\r\n%b" % (
             head.headers,
@@ -386,15 +386,15 @@
         self._check_draining()
         if ended:
             self._request.answer_whole(head.status, headers, body)
-            self._attempt_over()
+            self._detach_attempt()
             self._finish(Outcome.SERVED, None)
             return
-        self._answering = True
+        self._response_started = True
         self._cancel_timer()
         self._request.begin_answer(head.status, headers, head.body_length)
 
     def answer_data(self, data: bytes, ended: bool) -> None:
-        """Pass a chunk of the answer to the caller."""
+        """Forward a chunk of the response to the caller."""
         if self._done:
             return
         if data:
@@ -404,22 +404,22 @@
             elif self._attempt is not None:
                 self._attempt.consumed(len(data))
         if ended:
-            self._answer_whole()
+            self._finish_response()
 
     def attempt_failed(self, outcome: Outcome, reason: Reason, detail: str) -> None:
-        """An attempt ended without the server's answer."""
-        self._attempt_over()
+        """Retry or fail the request, since an attempt ended without the server's response."""
+        self._detach_attempt()
         if self._done:
             return
-        if self._answering:
+        if self._response_started:
             self._request.abort_answer()
             self._finish(Outcome.UNKNOWN, reason)
             return
-        self._after_failure(outcome, reason, detail, 0.0, 0)
+        self._retry_or_fail(outcome, reason, detail, 0.0, 0)
 
     def record_changed(self, record: CellRecord) -> None:
-        """Give the present attempt up if its daemon is no longer a member that may act."""
-        if self._attempt is None or self._answering or self._context is None:
+        """Cancel the current attempt if its daemon was removed from the cell or retired."""
+        if self._attempt is None or self._response_started or self._context is None:
             return
         if record.service != self._context.service:
             return
@@ -430,8 +430,8 @@
                 Outcome.UNKNOWN, Reason.CONNECTION_LOST, "the owner's daemon has been given up"
             )
 
-    def _refused(self, head: ResponseHead) -> None:
-        """The owner's daemon answered in the server's place."""
+    def _handle_refusal(self, head: ResponseHead) -> None:
+        """Process a refusal or failure that the owner's daemon reported."""
         reason = head.reason or Reason.SERVER_FAILED
         assert self._context is not None
         service = self._context.service
@@ -440,28 +440,28 @@
             member = self._target_member()
             address = member.peer if member is not None else ""
             self._ingress.control.want_record(service, head.version, address)
-        self._attempt_over()
-        self._after_failure(
+        self._detach_attempt()
+        self._retry_or_fail(
             head.outcome, reason, head.detail, head.retry_after_ms / MS_PER_S, head.status
         )
 
-    def _after_failure(
+    def _retry_or_fail(
         self, outcome: Outcome, reason: Reason, detail: str, retry_s: float, status: int
     ) -> None:
-        """Try again, or give the caller the final answer."""
+        """Schedule a retry, or send the caller the final response."""
         context = self._context
         assert context is not None
         ingress = self._ingress
         ingress.metrics.attempt_failed(context.service, outcome, reason)
-        self._tally.failed(outcome, reason)
+        self._history.failed(outcome, reason)
         if self._target:
             self._avoid.add(self._target)
         record = ingress.router.records.get(context.service)
         attempt = Attempt(
             outcome=outcome,
             reason=reason,
-            number=self._tally.number,
-            redirects=self._tally.redirects,
+            number=self._history.number,
+            redirects=self._history.redirects,
             repeatable=context.repeatable,
             replayable=self._body_ended and not self._body_forwarded,
             keyed=self._keyed,
@@ -476,31 +476,31 @@
         if decision.again:
             self._retry = ingress.reactor.callLater(decision.delay_s, self._try)
             return
-        self._answer(outcome, reason, detail, status=status, retry_s=retry_s)
+        self._respond(outcome, reason, detail, status=status, retry_s=retry_s)
 
-    def _attempt_over(self) -> None:
-        """Nothing more comes of the present attempt."""
+    def _detach_attempt(self) -> None:
+        """Detach from the current attempt."""
         if self._attempt is not None:
             self._attempt.detach()
             self._attempt = None
             self._ingress.router.ended(self._target)
 
-    def _answer_whole(self) -> None:
-        """The answer is complete."""
-        self._attempt_over()
+    def _finish_response(self) -> None:
+        """Complete the response to the caller."""
+        self._detach_attempt()
         self._request.end_answer()
         self._finish(Outcome.SERVED, None)
 
     def _deadline_passed(self) -> None:
-        """No verdict has come from the owner: say what is known here."""
+        """Respond with the outcome known here, since the owner has sent no result."""
         self._timer = None
-        under_way = self._attempt is not None
-        outcome = Outcome.UNKNOWN if under_way else Outcome.NOT_RUN
-        self._answer(outcome, Reason.DEADLINE, "the deadline has passed", status=504)
+        in_progress = self._attempt is not None
+        outcome = Outcome.UNKNOWN if in_progress else Outcome.NOT_RUN
+        self._respond(outcome, Reason.DEADLINE, "the deadline has passed", status=504)
 
     # -- endings --------------------------------------------------------------
 
-    def _answer(
+    def _respond(
         self,
         outcome: Outcome,
         reason: Reason,
@@ -509,15 +509,15 @@
         status: int = 0,
         retry_s: float = 0.0,
     ) -> None:
-        """Give the caller an answer of pearward's own."""
+        """Send the caller a response of pearward's own."""
         if self._done:
             return
-        final = self._tally.final(outcome)
+        final = self._history.final(outcome)
         if final is not outcome:
             outcome, status = final, 0
         status = status or status_for(outcome)
         if status == 503 and not retry_s:
-            retry_s = LOST_RETRY_S
+            retry_s = DEFAULT_RETRY_S
         fields = {"outcome": outcome.value, "reason": reason.value, "detail": detail}
         body = json.dumps(fields).encode() + b"\n"
         lines = [
@@ -536,18 +536,18 @@
         self._finish(outcome, reason)
 
     def _check_draining(self) -> None:
-        """Ask the caller to connect elsewhere while this daemon is leaving."""
+        """Close the caller's connection after the response while this daemon is draining."""
         if self._ingress.control.draining:
             self._request.close_after()
 
     def _target_member(self) -> Member | None:
-        """Return the member that the present attempt went to, if the record still names it."""
+        """Return the member of the current attempt, if the record still contains it."""
         assert self._context is not None
         record = self._ingress.router.records.get(self._context.service)
         return record.member(self._target) if record is not None else None
 
     def _owner_line(self) -> bytes:
-        """Return the header that names where the owner's daemon takes callers."""
+        """Return the header with the caller address of the owner's daemon."""
         member = self._target_member()
         if member is None:
             return b""
@@ -559,17 +559,17 @@
             self._timer = None
 
     def _finish(self, outcome: Outcome, reason: Reason | None) -> None:
-        """Give back everything that the request held."""
+        """Release everything that the request holds, and record its outcome."""
         self._done = True
         self._cancel_timer()
         if self._retry is not None and self._retry.active():
             self._retry.cancel()
         if self._attempt is not None:
             attempt = self._attempt
-            self._attempt_over()
+            self._detach_attempt()
             attempt.cancel()
         self._ingress.ended(self)
-        took_s = boot_time() - self._begun_at
+        took_s = boot_time() - self._started_at
         context = self._context
         if context is not None:
             self._ingress.metrics.request_ended(
@@ -578,11 +578,11 @@
         self._log(outcome, reason, took_s)
 
     def _log(self, outcome: Outcome, reason: Reason | None, took_s: float) -> None:
-        """Write the end of the request's action, or a line where only failures are logged."""
+        """End the request's logged action, or log a failure that has no action."""
         fields = {
             "outcome": outcome.value,
             "reason": reason.value if reason else "",
-            "attempts": self._tally.number,
+            "attempts": self._history.number,
             "took_ms": round(took_s * MS_PER_S, 3),
         }
         if self._action is not None:
--- a/packages/daemon/src/pearward_daemon/service_finder.py
+++ b/packages/daemon/src/pearward_daemon/service_finder.py
@@ -1,7 +1,8 @@
-"""Finding services that this daemon has not heard of: the store's list, and single lookups.
+"""Lookup of services that this daemon has not received: the store's list, and single lookups.
 
-Rows of services reach a daemon from its peers, a round of digests (about 1 s) after it has
-started or later. Until then "no such service" would be a guess, and a final one for the caller.
+A daemon gets the rows of services from its peers, a round of digests (about 1 s) after its start
+or later. Until then it cannot determine that a service does not exist, and a 404 is final for
+the caller.
 """
 
 from typing import Any, Protocol
@@ -22,31 +23,31 @@
 
 TABLE, CELL = "table/", "cell/"
 MS_PER_S = 1000
-LIST_AGAIN_S = 1.0
-"""Between tries to read the list of services at the start."""
-SPREAD_S = 2.0
-"""Time that peers have to bring what the list names, two rounds of digests, before it is read."""
+LIST_RETRY_S = 1.0
+"""Delay between attempts to read the list of services at the start."""
+PEER_WAIT_S = 2.0
+"""Time that peers have to send the listed services, two rounds of digests, before a lookup."""
 
 
 class ServiceRows(Protocol):
-    """What this daemon knows of services."""
+    """Interface to the stored values that this daemon holds."""
 
     def knows(self, key: str) -> bool:
-        """Return whether some version of a stored key has come."""
+        """Return whether any version of a stored key has been received."""
 
     def value_found(self, key: str, value: bytes) -> None:
-        """Act on a value that was read; raises InvalidRecord."""
+        """Adopt a value that was read from the store; raises InvalidRecord."""
 
 
 class ServiceFinder:
-    """Knows which services there are, and looks up those that have not come from peers."""
+    """Reads the list of services, and looks up those that peers have not sent."""
 
     def __init__(self, reactor: Any, platform: KeyValueService, rows: ServiceRows) -> None:
         self._reactor = reactor
         self._platform = platform
         self._rows = rows
-        self._decisions = ServiceLookups()
-        self._asking: dict[str, list[Deferred[LookupResult]]] = {}
+        self._lookups = ServiceLookups()
+        self._pending_lookups: dict[str, list[Deferred[LookupResult]]] = {}
         self._listed: tuple[str, ...] | None = None
         self._unreadable: set[str] = set()
         self._running = False
@@ -54,23 +55,23 @@
     # -- at the start -----------------------------------------------------------
 
     def start(self) -> None:
-        """Read which services there are."""
+        """Start to read the list of services."""
         self._running = True
         spawn(self._read_list())
 
     def stop(self) -> None:
-        """End."""
+        """Stop reading the list."""
         self._running = False
 
     def missing(self) -> str:
-        """Return what this daemon still has to learn of services, or nothing."""
+        """Return why the services are incomplete, or an empty string if they are complete."""
         if self._listed is None:
             return "the services are not listed yet"
-        unknown = self._unknown()
+        unknown = self._unknown_services()
         return f"service {unknown[0]!r} is not known yet" if unknown else ""
 
-    def _unknown(self) -> list[str]:
-        """Return the listed services of which nothing has come that can be read."""
+    def _unknown_services(self) -> list[str]:
+        """Return the listed services of which no valid rows have been received."""
         return [
             name
             for name in self._listed or ()
@@ -83,35 +84,35 @@
                 keys = await self._platform.names(TABLE)
             except PlatformUnavailable as error:
                 eliot.log_message("pearward:platform", call="list services", error=str(error))
-                await sleep(self._reactor, LIST_AGAIN_S)
+                await sleep(self._reactor, LIST_RETRY_S)
             else:
                 self._listed = tuple(key.removeprefix(TABLE) for key in keys)
                 eliot.log_message("pearward:services-listed", services=len(self._listed))
-        while self._running and self._unknown():
-            await sleep(self._reactor, SPREAD_S)
-            for name in self._unknown():
+        while self._running and self._unknown_services():
+            await sleep(self._reactor, PEER_WAIT_S)
+            for name in self._unknown_services():
                 if await self.find(name) is LookupResult.ABSENT:
                     self._listed = tuple(other for other in self._listed or () if other != name)
 
     # -- for callers' requests -----------------------------------------------------
 
     def find(self, service: str) -> "Deferred[LookupResult]":
-        """Return a Deferred of what the store says of a service that is not known here."""
+        """Return a Deferred of the lookup's result for a service that this daemon does not have."""
         result: Deferred[LookupResult] = Deferred()
         now = boot_time()
-        if self._decisions.known_absent(service, now):
+        if self._lookups.known_absent(service, now):
             result.callback(LookupResult.ABSENT)
-        elif service in self._asking:
-            self._asking[service].append(result)
-        elif not self._decisions.take(now):
+        elif service in self._pending_lookups:
+            self._pending_lookups[service].append(result)
+        elif not self._lookups.take(now):
             eliot.log_message("pearward:service-lookup", service=service, found="not asked: rate")
             result.callback(LookupResult.UNDETERMINED)
         else:
-            self._asking[service] = [result]
-            spawn(self._ask(service))
+            self._pending_lookups[service] = [result]
+            spawn(self._run_lookup(service))
         return result
 
-    async def _ask(self, service: str) -> None:
+    async def _run_lookup(self, service: str) -> None:
         began = boot_time()
         found, error = LookupResult.UNDETERMINED, ""
         try:
@@ -122,8 +123,8 @@
             self._unreadable.add(service)
             error = str(failed)
         finally:
-            # Also after a fault of another kind: who waits must not wait for the deadline.
-            waiting = self._asking.pop(service)
+            # Also after an unexpected exception, so that no caller waits until its deadline.
+            waiting = self._pending_lookups.pop(service)
             eliot.log_message(
                 "pearward:service-lookup",
                 service=service,
@@ -135,14 +136,14 @@
                 result.callback(found)
 
     async def _look_up(self, service: str) -> LookupResult:
-        """Read a service's rows, and who is in its cell where that is not known either."""
+        """Read a service's rows, and its cell's record unless this daemon has one."""
         rows = await self._platform.get(TABLE + service)
         if rows is None:
-            self._decisions.note_absent(service, boot_time())
+            self._lookups.note_absent(service, boot_time())
             return LookupResult.ABSENT
         self._rows.value_found(rows.key, rows.value)
         if ServiceTable.from_bytes(service, rows.value).removed:
-            self._decisions.note_absent(service, boot_time())
+            self._lookups.note_absent(service, boot_time())
             return LookupResult.ABSENT
         if not self._rows.knows(CELL + service):
             record = await self._platform.get(CELL + service)
--- a/packages/daemon/src/pearward_daemon/store_fallback.py
+++ b/packages/daemon/src/pearward_daemon/store_fallback.py
@@ -1,9 +1,9 @@
-"""What a member does at the platform's store itself, where peers cannot tell it or be told.
+"""A member's direct use of the platform's store if it cannot reach its peers.
 
-Records reach members by their peers, and an owner tells its heirs by a message that it has
-given shards up. A daemon that is cut off from its peers may reach the store all the same. An
-owner that is its own only witness, as in a cell that had shrunk to two, is the only one that
-can release its shards: what it does not tell, nobody can.
+Members get records from their peers, and an owner notifies the new owners of its shards of the
+release by a message. A daemon that is cut off from its peers may still reach the store. An owner
+that is its own only witness, as in a cell that has shrunk to two members, is the only one that
+can release its shards: without its report they get no new owner.
 """
 
 from random import Random
@@ -24,27 +24,28 @@
 
 __all__ = ["RecordHolder", "StoreFallback"]
 
-UNTOLD_S = 1.5
-"""Time for which a record may wait for a release that was given before the owner writes it:
-heirs hear of it at once and their coordinator within a heartbeat (0.25 s)."""
-LOOK_MIN_S = 0.25
-LOOK_MAX_S = 15.0
-"""Between reads of the record by a daemon that is alone: few while a whole network is down."""
+RELEASE_REPORT_S = 1.5
+"""Time for which a record may await a release that was sent, before the owner writes it to the
+store: new owners get the message at once, the coordinator within a heartbeat (0.25 s)."""
+READ_INTERVAL_MIN_S = 0.25
+READ_INTERVAL_MAX_S = 15.0
+"""Limits of the interval between reads of the record by an isolated daemon; the interval doubles,
+so that the store gets few reads while a whole network is down."""
 
 
 class RecordHolder(Protocol):
-    """Who acts on the cell's record in this daemon."""
+    """Interface of the control plane that adopts the cell's record in this daemon."""
 
     @property
     def ownership(self) -> Ownership:
-        """What this daemon owns, and what it has given up."""
+        """Shards that this daemon owns, and the version up to which it has released others."""
 
     def record_written(self, record: CellRecord, value: bytes) -> None:
-        """A record is in force: adopt and spread it if it is newer."""
+        """Adopt and distribute a record that has taken effect, if it is newer."""
 
 
 class StoreFallback:
-    """Reads the cell's record, and writes this daemon's own release, where peers do neither."""
+    """Reads the cell's record and writes this daemon's release at the store, without any peer."""
 
     def __init__(
         self,
@@ -60,34 +61,34 @@
         self._incarnation = incarnation
         self._rng = rng
         self._busy = False
-        self._untold_since: float | None = None
-        self._pause_s = LOOK_MIN_S
-        self._next_look = 0.0
+        self._unreported_since: float | None = None
+        self._read_interval_s = READ_INTERVAL_MIN_S
+        self._next_read = 0.0
         self._writes = 0
 
     def tick(self, now: float, *, alone: bool) -> None:
-        """Look at the stored record if this daemon is *alone*, or its release stays unheard."""
-        if not alone and not self._is_unheard(now):
-            self._pause_s = LOOK_MIN_S
+        """Read the stored record if this daemon is *alone* or its release stays unreported."""
+        if not alone and not self._is_release_unreported(now):
+            self._read_interval_s = READ_INTERVAL_MIN_S
             return
-        if self._busy or now < self._next_look:
+        if self._busy or now < self._next_read:
             return
         self._busy = True
-        spawn(self._look())
+        spawn(self._read_record())
 
-    def _is_unheard(self, now: float) -> bool:
-        """Return whether the record has waited for long for what was given up already."""
+    def _is_release_unreported(self, now: float) -> bool:
+        """Return whether the record has awaited a release by this daemon for too long."""
         record = self._holder.ownership.record
         awaited = 0 if record is None else awaited_release(record, self._incarnation)
         if not awaited or awaited > self._holder.ownership.released:
-            self._untold_since = None
+            self._unreported_since = None
             return False
-        if self._untold_since is None:
-            self._untold_since = now
-        return now - self._untold_since >= UNTOLD_S
+        if self._unreported_since is None:
+            self._unreported_since = now
+        return now - self._unreported_since >= RELEASE_REPORT_S
 
-    async def _look(self) -> None:
-        """Act on the stored record; write the release that it still waits for."""
+    async def _read_record(self) -> None:
+        """Adopt the stored record, and write the release that it still awaits."""
         try:
             pair = await self._platform.get(self._key)
             if pair is not None:
@@ -100,16 +101,18 @@
             eliot.log_message("pearward:invalid-record", key=self._key, error=str(error))
         finally:
             self._busy = False
-            self._next_look = boot_time() + self._pause_s * (0.75 + 0.5 * self._rng.random())
-            self._pause_s = min(LOOK_MAX_S, self._pause_s * 2)
+            self._next_read = boot_time() + self._read_interval_s * (
+                0.75 + 0.5 * self._rng.random()
+            )
+            self._read_interval_s = min(READ_INTERVAL_MAX_S, self._read_interval_s * 2)
 
     async def _act_on(self, pair: KeyValue) -> None:
         record = CellRecord.from_bytes(pair.value)
         self._holder.record_written(record, pair.value)
         ownership = self._holder.ownership
         if awaited_release(record, self._incarnation) > ownership.released:
-            # Requests still run, or the server is being told: soon to be looked at again.
-            self._pause_s = LOOK_MIN_S
+            # Requests still run, or the grant to the server is in transit: read again soon.
+            self._read_interval_s = READ_INTERVAL_MIN_S
             return
         self._writes += 1
         write_id = f"{self._incarnation}:release:{self._writes}"
