--- a/packages/cli/src/pearward_cli/errors.py
+++ b/packages/cli/src/pearward_cli/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the command line, each with its exit code."""
+"""Errors of the command-line interface with their exit codes."""
 
 from pearward_state.errors import PearwardError
 from pearward_state.tablediff import Conflict
@@ -14,41 +14,41 @@
 
 
 class CliError(PearwardError):
-    """Root of the command line's errors."""
+    """Base class of the errors of the command-line interface."""
 
     exit_code = 1
 
 
 class InvalidInput(CliError):
-    """A file, a row or an argument cannot be used."""
+    """A file, a row or an argument is invalid."""
 
     exit_code = 2
 
 
 class PlatformDown(CliError):
-    """The platform's service did not answer; what was to be written may or may not be."""
+    """The platform's service did not respond; a write may or may not have been applied."""
 
     exit_code = 3
 
 
 class DaemonDown(CliError):
-    """A daemon that is needed did not answer."""
+    """A required daemon did not respond."""
 
     exit_code = 3
 
 
 class ConflictingEdits(CliError):
-    """Somebody else changed the same fields meanwhile; nothing of this edit was written."""
+    """The same fields were changed concurrently; no part of this edit was written."""
 
     exit_code = 4
 
     def __init__(self, service: str, conflicts: list[Conflict]) -> None:
         lines = "\n".join(f"  {conflict}" for conflict in conflicts)
-        super().__init__(f"{service}: changed by somebody else meanwhile:\n{lines}")
+        super().__init__(f"{service}: changed concurrently by another operator:\n{lines}")
         self.conflicts = conflicts
 
 
 class NotConfirmed(CliError):
-    """Not every live daemon has confirmed the change in time."""
+    """Not all live daemons confirmed the change in time."""
 
     exit_code = 5
--- a/packages/cli/src/pearward_cli/files.py
+++ b/packages/cli/src/pearward_cli/files.py
@@ -1,4 +1,4 @@
-"""Rows in files under version control, and in CSV for spreadsheets."""
+"""Reads and writes table rows as YAML files and as CSV for spreadsheets."""
 
 import csv
 import io
@@ -35,24 +35,24 @@
         except OSError as error:
             raise InvalidInput(f"{file}: {error.strerror}") from error
         except yaml.YAMLError as error:
-            raise InvalidInput(f"{file}: no YAML: {' '.join(str(error).split())}") from error
+            raise InvalidInput(f"{file}: invalid YAML: {' '.join(str(error).split())}") from error
         except InvalidField as error:
             raise InvalidInput(f"{file}: {error}") from error
     return declared
 
 
 def _checked(service: str, raw: object) -> dict[str, Any]:
-    """Return rows with every default filled in; raises InvalidField."""
+    """Return validated rows with all defaults filled in; raises InvalidField."""
     return ServiceTable.from_mapping(service, raw).to_mapping()
 
 
 def parse_value(text: str) -> Any:
-    """Return a value as it is written on the command line or in a cell of a spreadsheet."""
+    """Parse a value from the command line or from a CSV cell."""
     return yaml.safe_load(text)
 
 
 def write_csv(tables: list[ServiceTable]) -> str:
-    """Return one line per service and per server, with a column for each field."""
+    """Return CSV with one line per service and per server, and a column for each field."""
     columns = _KEY_COLUMNS + list(dict.fromkeys(_SERVICE_FIELDS + _SERVER_FIELDS))
     out = io.StringIO()
     writer = csv.DictWriter(out, columns, lineterminator="\n")
@@ -70,7 +70,7 @@
 
 
 def read_csv(path: Path) -> dict[str, dict[str, Any]]:
-    """Return the rows of each service in a file that write_csv made and somebody edited."""
+    """Return the rows of each service in a CSV file with the columns of write_csv()."""
     declared: dict[str, dict[str, Any]] = {}
     with path.open(encoding="utf-8", newline="") as file:
         for number, line in enumerate(csv.DictReader(file), start=2):
--- a/packages/cli/src/pearward_cli/fleet.py
+++ b/packages/cli/src/pearward_cli/fleet.py
@@ -1,4 +1,4 @@
-"""Asking the daemons themselves: status, confirmations, routes."""
+"""Calls to the daemons: status, confirmations of changes, releases."""
 
 import json
 from dataclasses import dataclass
@@ -17,33 +17,33 @@
 
 __all__ = ["Fleet", "Report"]
 
-ASK_TIMEOUT_S = 1.5
-AT_ONCE = 64
-"""Daemons that are asked at the same time."""
+QUERY_TIMEOUT_S = 1.5
+MAX_CONCURRENT = 64
+"""Maximum number of daemons that are queried concurrently."""
 POLL_S = 0.1
 HTTP_OK = 200
 
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """What one daemon says of itself; *status* is None where it did not answer."""
+    """The status of one daemon; *status* is None if it did not respond."""
 
     instance: Instance
     status: dict[str, Any] | None
 
 
 class Fleet:
-    """All daemons of the platform's list."""
+    """Calls to the daemons on the platform's list of instances."""
 
     def __init__(self, reactor: Any, platform: KeyValueService) -> None:
         self._reactor = reactor
         self._platform = platform
         pool = HTTPConnectionPool(reactor, persistent=False)
-        endpoints = IpEndpoints(reactor, ASK_TIMEOUT_S)
+        endpoints = IpEndpoints(reactor, QUERY_TIMEOUT_S)
         self._agent = Agent.usingEndpointFactory(reactor, endpoints, pool=pool)
 
     async def instances(self) -> list[Instance]:
-        """Return the platform's list."""
+        """Return the platform's list of instances."""
         try:
             pairs = await self._platform.scan(INSTANCES)
         except PlatformUnavailable as error:
@@ -51,52 +51,52 @@
         return [i for i in map(parse_instance, pairs) if i is not None]
 
     async def reports(self, instances: list[Instance]) -> list[Report]:
-        """Ask every daemon, a bounded number at once."""
+        """Query every daemon, at most MAX_CONCURRENT at a time."""
         reports: list[Report] = []
-        for start in range(0, len(instances), AT_ONCE):
-            group = instances[start : start + AT_ONCE]
-            asked = [ensureDeferred(self._ask(instance)) for instance in group]
-            results = await DeferredList(asked, consumeErrors=True)
+        for start in range(0, len(instances), MAX_CONCURRENT):
+            group = instances[start : start + MAX_CONCURRENT]
+            queries = [ensureDeferred(self._query(instance)) for instance in group]
+            results = await DeferredList(queries, consumeErrors=True)
             reports.extend(report for _, report in results)
         return reports
 
     async def wait_confirmed(self, versions: dict[str, int], timeout_s: float) -> list[Report]:
-        """Wait until all live daemons act on *versions*; return those that do not yet."""
+        """Wait until all live daemons have applied *versions*; return those that have not."""
         deadline = self._reactor.seconds() + timeout_s
         missing = [i for i in await self.instances() if i.state is InstanceState.LIVE]
         while True:
             reports = await self.reports(missing)
-            behind = [r for r in reports if not _confirms(r, versions)]
+            behind = [r for r in reports if not _has_applied(r, versions)]
             if not behind or self._reactor.seconds() >= deadline:
                 return behind
             missing = [r.instance for r in behind]
             await sleep(self._reactor, POLL_S)
 
     async def release(self, instance: Instance, incarnation: str) -> bool:
-        """Tell a coordinator that an incarnation has ended; return whether it took that."""
+        """Notify a coordinator that an incarnation has ended; return whether it accepted this."""
         host = instance.admin_address or instance.address
         url = f"http://{host}:{instance.admin_port}/release?incarnation={incarnation}".encode()
         exchange = self._agent.request(b"POST", url)
-        exchange.addTimeout(ASK_TIMEOUT_S, self._reactor)
+        exchange.addTimeout(QUERY_TIMEOUT_S, self._reactor)
         try:
             return bool((await exchange).code == HTTP_OK)
         except Exception as error:
             raise DaemonDown(f"{instance.name}: {error or type(error).__name__}") from error
 
-    async def _ask(self, instance: Instance) -> Report:
+    async def _query(self, instance: Instance) -> Report:
         host = instance.admin_address or instance.address
         url = f"http://{host}:{instance.admin_port}/status".encode()
         exchange = self._agent.request(b"GET", url).addCallback(readBody)
-        exchange.addTimeout(ASK_TIMEOUT_S, self._reactor)
+        exchange.addTimeout(QUERY_TIMEOUT_S, self._reactor)
         try:
             return Report(instance, json.loads(await exchange))
         except Exception:
-            # Whatever keeps a daemon from answering, it is reported as not answering.
+            # Any failure is reported as no response.
             return Report(instance, None)
 
 
-def _confirms(report: Report, versions: dict[str, int]) -> bool:
-    """Return whether a daemon acts on at least *versions*."""
+def _has_applied(report: Report, versions: dict[str, int]) -> bool:
+    """Return whether a daemon has applied at least *versions*."""
     if report.status is None:
         return False
     known = report.status.get("versions", {})
--- a/packages/cli/src/pearward_cli/main.py
+++ b/packages/cli/src/pearward_cli/main.py
@@ -1,4 +1,4 @@
-"""The command pearward."""
+"""The command-line interface of pearward."""
 
 import getpass
 import json
@@ -20,23 +20,23 @@
 
 from .errors import CliError, DaemonDown, InvalidInput, NotConfirmed, PlatformDown
 from .files import parse_value, read_csv, read_declared, write_csv
-from .tables import Applied, TableEditor
+from .tables import AppliedEdits, TableEditor
 
 __all__ = ["main"]
 
 DEFAULT_PLATFORM = "127.0.0.1:2379"
-WAIT_S = 7.0
+CONFIRMATION_TIMEOUT_S = 7.0
 
 
 @dataclass
 class Session:
-    """What every command has at hand."""
+    """Options and helpers shared by all commands."""
 
     endpoints: tuple[str, ...]
     as_json: bool
 
     def run(self, work: Callable[[Any, Any], Awaitable[Any]]) -> Any:
-        """Run *work(reactor, platform)* on the loop; its errors end the command with their code."""
+        """Run *work(reactor, platform)* in the event loop; on an error exit with its code."""
         from twisted.internet import reactor
         from twisted.internet.defer import ensureDeferred
         from twisted.python.failure import Failure
@@ -71,11 +71,11 @@
         sys.exit(code)
 
     def show(self, data: Any, text: str) -> None:
-        """Print *data* as JSON or *text*."""
+        """Print *data* as JSON if --json was given, else *text*."""
         click.echo(json.dumps(data, indent=2, default=str) if self.as_json else text)
 
     def editor(self, platform: Any) -> TableEditor:
-        """Return an editor that signs with this operator's name."""
+        """Return an editor that records USER@HOST of this operator as author."""
         author = f"{getpass.getuser()}@{socket.gethostname()}"
         return TableEditor(
             platform, author, lambda: datetime.now(UTC).isoformat(timespec="seconds")
@@ -98,10 +98,11 @@
 @click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 @click.pass_context
 def main(context: click.Context, endpoints: tuple[str, ...], as_json: bool) -> None:
-    """Plan, apply and edit the table of services; look at what runs.
+    """Plan, apply and edit the table of services; show the state of the daemons.
 
-    Exit codes: 0 done, 1 unexpected error, 2 invalid input, 3 the platform's service
-    does not answer, 4 somebody else changed the same fields, 5 not confirmed in time.
+    Exit codes: 0 success, 1 unexpected error, 2 invalid input, 3 no response from the
+    platform's service or a daemon, 4 conflicting changes of the same fields, 5 not confirmed
+    in time.
     """
     context.obj = Session(endpoints, as_json)
 
@@ -125,7 +126,7 @@
 @click.argument("paths", nargs=-1, required=True, type=click.Path(exists=True, path_type=Path))
 @pass_session
 def plan(session: Session, paths: tuple[Path, ...]) -> None:
-    """Show what apply would change. PATHS are <service>.yaml files or folders of them."""
+    """Show the changes that apply would make. PATHS are <service>.yaml files or folders of them."""
     declared = _declared(session, lambda: read_declared(list(paths)))
 
     async def work(reactor: Any, platform: Any) -> Any:
@@ -142,10 +143,10 @@
         session.fail(error)
 
 
-async def _finish(
-    reactor: Any, platform: Any, applied: list[Applied], wait: bool, timeout_s: float
-) -> list[Applied]:
-    """Wait for confirmations where that was asked for."""
+async def _await_confirmations(
+    reactor: Any, platform: Any, applied: list[AppliedEdits], wait: bool, timeout_s: float
+) -> list[AppliedEdits]:
+    """Wait for confirmations if *wait* is set; raises NotConfirmed after *timeout_s*."""
     from .fleet import Fleet
 
     if wait and applied:
@@ -159,7 +160,7 @@
     return applied
 
 
-def _show_applied(session: Session, applied: list[Applied]) -> None:
+def _show_applied(session: Session, applied: list[AppliedEdits]) -> None:
     data = [
         {"service": a.service, "version": a.version, "edits": _edit_rows(list(a.edits))}
         for a in applied
@@ -170,19 +171,22 @@
 
 def _wait_options(command: Any) -> Any:
     command = click.option(
-        "--timeout", default=WAIT_S, show_default=True, help="Seconds to wait for confirmations."
+        "--timeout",
+        default=CONFIRMATION_TIMEOUT_S,
+        show_default=True,
+        help="Seconds to wait for confirmations.",
     )(command)
     return click.option(
-        "--wait", is_flag=True, help="Return when all live daemons act on the change."
+        "--wait", is_flag=True, help="Return when all live daemons have applied the change."
     )(command)
 
 
 def _apply_all(session: Session, declared: dict[str, Any], wait: bool, timeout: float) -> None:
-    async def work(reactor: Any, platform: Any) -> list[Applied]:
+    async def work(reactor: Any, platform: Any) -> list[AppliedEdits]:
         editor = session.editor(platform)
         results = [await editor.apply(service, rows) for service, rows in declared.items()]
         applied = [result for result in results if result is not None]
-        return await _finish(reactor, platform, applied, wait, timeout)
+        return await _await_confirmations(reactor, platform, applied, wait, timeout)
 
     _show_applied(session, session.run(work))
 
@@ -192,7 +196,7 @@
 @_wait_options
 @pass_session
 def apply(session: Session, paths: tuple[Path, ...], wait: bool, timeout: float) -> None:
-    """Make the table as the files declare it. Other services stay as they are."""
+    """Apply the files to the table. Services without a file are unchanged."""
     declared = _declared(session, lambda: read_declared(list(paths)))
     _apply_all(session, declared, wait, timeout)
 
@@ -214,12 +218,12 @@
 @_wait_options
 @pass_session
 def import_(session: Session, path: Path, wait: bool, timeout: float) -> None:
-    """Make the services in a CSV file as it says. Other services stay as they are."""
+    """Apply a CSV file to the table. Services that it does not contain are unchanged."""
     _apply_all(session, _declared(session, lambda: read_csv(path)), wait, timeout)
 
 
 def _row_address(row: str) -> tuple[str, str]:
-    """Return the service and the address within its table of ``SERVICE[/SERVER]``."""
+    """Split ``SERVICE[/SERVER]`` into the service and the row's address within its table."""
     service, _, server = row.partition("/")
     return service, f"servers/{server}" if server else "service"
 
@@ -247,21 +251,21 @@
 ) -> None:
     service, address = _row_address(row)
 
-    async def work(reactor: Any, platform: Any) -> list[Applied]:
+    async def work(reactor: Any, platform: Any) -> list[AppliedEdits]:
         made = await session.editor(platform).edit(service, address, values)
         applied = [made] if made is not None else []
-        return await _finish(reactor, platform, applied, wait, timeout)
+        return await _await_confirmations(reactor, platform, applied, wait, timeout)
 
     _show_applied(session, session.run(work))
 
 
 @main.command()
 @click.argument("row", metavar="SERVICE/SERVER")
-@click.option("--off", is_flag=True, help="Let the server take work again.")
+@click.option("--off", is_flag=True, help="End the drain, so that the server receives work again.")
 @_wait_options
 @pass_session
 def drain(session: Session, row: str, off: bool, wait: bool, timeout: float) -> None:
-    """Hand a server's work over; running requests end, no new ones come."""
+    """Drain a server: running requests finish, and it receives no new ones."""
     if "/" not in row:
         session.fail(InvalidInput(f"{row!r}: expected SERVICE/SERVER"))
     _set_values(session, row, {"drain": not off}, wait, timeout)
@@ -282,13 +286,13 @@
     session.show(rows, "\n".join(lines))
 
 
-# -- what runs ------------------------------------------------------------------
+# -- state of the daemons -------------------------------------------------------
 
 
 @main.command()
 @pass_session
 def status(session: Session) -> None:
-    """Show every instance of the platform's list, and what its daemon says."""
+    """Show every instance of the platform's list with the status of its daemon."""
     from .fleet import Fleet
 
     async def work(reactor: Any, platform: Any) -> Any:
@@ -324,13 +328,13 @@
     "--i-am-sure-it-has-ended",
     "sure",
     is_flag=True,
-    help="If the daemon still runs, two servers may own a key: data may be lost or doubled.",
+    help="If the daemon still runs, two servers may own a key: data may be lost or duplicated.",
 )
 @pass_session
 def release(session: Session, row: str, sure: bool) -> None:
-    """Give up waiting for a lost server's daemon, on your word that it has ended.
+    """Release the keys of a lost server after you have verified that its daemon has ended.
 
-    Needed only where so many witnesses were lost with it that nobody can tell.
+    Needed only if too many witnesses were lost with it to establish this automatically.
     """
     from .fleet import Fleet
 
@@ -363,7 +367,7 @@
 
 
 async def _read_record(platform: Any, service: str) -> CellRecord:
-    """Return a service's assignment record; raises InvalidInput where there is none."""
+    """Return a service's assignment record; raises InvalidInput if there is none."""
     try:
         pair = await platform.get(f"cell/{service}")
     except PearwardError as error:
@@ -378,7 +382,7 @@
 @click.argument("key", default="")
 @pass_session
 def route(session: Session, service: str, key: str) -> None:
-    """Explain who owns a key, and why."""
+    """Show the owner of a key and the assignment state of its shard."""
 
     async def work(reactor: Any, platform: Any) -> Any:
         table = await session.editor(platform).read(service)
@@ -390,7 +394,7 @@
 
 
 def _explain(table: Any, record: CellRecord, service: str, key: str) -> dict[str, Any]:
-    """Return what decides the route of a key."""
+    """Return the data that determines the route of a key."""
     if table.service.kind is Kind.POOLED:
         names = [m.server for m in record.members if m.state.value == "active"]
         return {"service": service, "kind": "pooled", "candidates": ", ".join(names)}
--- a/packages/cli/src/pearward_cli/tables.py
+++ b/packages/cli/src/pearward_cli/tables.py
@@ -1,4 +1,4 @@
-"""Reading and changing the operators' table on the platform's service."""
+"""Reads and edits the operators' table in the platform's key-value service."""
 
 import secrets
 from collections.abc import Callable, Mapping
@@ -13,15 +13,15 @@
 
 from .errors import ConflictingEdits, InvalidInput, PlatformDown
 
-__all__ = ["Applied", "TableEditor"]
+__all__ = ["AppliedEdits", "TableEditor"]
 
 PREFIX = "table/"
-MAX_TRIES = 20
+MAX_ATTEMPTS = 20
 
 
 @dataclass(frozen=True, slots=True)
-class Applied:
-    """An edit that is in the platform's service."""
+class AppliedEdits:
+    """An edit that was written to the platform's service."""
 
     service: str
     version: int
@@ -30,14 +30,14 @@
 
 @dataclass(frozen=True, slots=True)
 class _Read:
-    """A table as it was read, with the revision to compare on writing."""
+    """A table, and the revision at which it was read, to be compared on writing."""
 
     table: ServiceTable
     revision: int
 
 
 class TableEditor:
-    """Makes edits by compare-and-swap; two operators who race lose nothing."""
+    """Writes edits by compare-and-swap, so that concurrent edits are not lost."""
 
     def __init__(
         self, platform: KeyValueService, author: str, timestamp: Callable[[], str]
@@ -55,14 +55,14 @@
         return [_parse(pair.key.removeprefix(PREFIX), pair.value) for pair in pairs]
 
     async def read(self, service: str) -> ServiceTable:
-        """Return one service's table; raises InvalidInput where there is none."""
+        """Return one service's table; raises InvalidInput if there is none."""
         found = await self._read(service)
         if not found.revision:
             raise InvalidInput(f"unknown service {service!r}")
         return found.table
 
     async def plan(self, declared: Mapping[str, Mapping[str, Any]]) -> dict[str, list[Edit]]:
-        """Return the edits that would make the table as *declared*."""
+        """Return the edits that change the table to *declared*."""
         planned: dict[str, list[Edit]] = {}
         for service, rows in declared.items():
             found = await self._read(service)
@@ -70,13 +70,13 @@
             planned[service] = diff_rows(before, rows)
         return planned
 
-    async def apply(self, service: str, rows: Mapping[str, Any]) -> Applied | None:
-        """Make a service's rows as declared; None where they are so already."""
+    async def apply(self, service: str, rows: Mapping[str, Any]) -> AppliedEdits | None:
+        """Change a service's rows to *rows*; return None if nothing differs."""
         found = await self._read(service)
         before = found.table.to_mapping() if found.revision else {}
-        return await self._make(service, found, diff_rows(before, rows))
+        return await self._commit(service, found, diff_rows(before, rows))
 
-    async def edit(self, service: str, row: str, values: Mapping[str, Any]) -> Applied | None:
+    async def edit(self, service: str, row: str, values: Mapping[str, Any]) -> AppliedEdits | None:
         """Set fields of one row (``service`` or ``servers/<name>``)."""
         found = await self._read(service)
         if not found.revision:
@@ -96,24 +96,27 @@
             for name, value in values.items()
             if before[name] != value
         ]
-        return await self._make(service, found, edits)
+        return await self._commit(service, found, edits)
 
-    async def _make(self, service: str, found: _Read, edits: list[Edit]) -> Applied | None:
-        """Write *edits*; where somebody was quicker, on top of theirs if the fields differ."""
+    async def _commit(self, service: str, found: _Read, edits: list[Edit]) -> AppliedEdits | None:
+        """Write *edits*; after a concurrent edit of other fields, retry on top of it.
+
+        Raises ConflictingEdits if the same fields were changed.
+        """
         write_id = secrets.token_hex(8)
         base = found.table.to_mapping() if found.revision else {}
-        for _ in range(MAX_TRIES):
+        for _ in range(MAX_ATTEMPTS):
             if not edits:
                 return None
             table = self._changed(service, found, edits, write_id)
             if await self._write(service, found.revision, table):
-                return Applied(service, table.version, tuple(edits))
+                return AppliedEdits(service, table.version, tuple(edits))
             found = await self._read(service)
-            theirs = diff_rows(base, found.table.to_mapping())
-            conflicts = find_conflicts(edits, theirs)
+            concurrent_edits = diff_rows(base, found.table.to_mapping())
+            conflicts = find_conflicts(edits, concurrent_edits)
             if conflicts:
                 raise ConflictingEdits(service, conflicts)
-        raise PlatformDown(f"{service}: changed by others {MAX_TRIES} times in a row")
+        raise PlatformDown(f"{service}: {MAX_ATTEMPTS} writes in a row failed due to other changes")
 
     def _changed(
         self, service: str, found: _Read, edits: list[Edit], write_id: str
@@ -127,7 +130,10 @@
             raise InvalidInput(str(error)) from error
 
     async def _write(self, service: str, revision: int, table: ServiceTable) -> bool:
-        """Swap; a lost answer is settled by looking for the write id."""
+        """Swap the table and return whether it was written.
+
+        If the response was lost, the write id in the store shows the outcome.
+        """
         try:
             await self._platform.swap(PREFIX + service, revision, table.to_bytes())
         except CasConflict:
--- a/packages/transport/src/pearward_transport/errors.py
+++ b/packages/transport/src/pearward_transport/errors.py
@@ -14,7 +14,7 @@
 
 
 class TransportError(PearwardError):
-    """Root of the transport layer's errors."""
+    """Base class of the transport layer's errors."""
 
 
 class PeerUnreachable(TransportError):
@@ -35,7 +35,7 @@
 
 
 class PlatformError(TransportError):
-    """Root of errors of the platform's key-value service."""
+    """Base class of errors of the platform's key-value service."""
 
 
 class PlatformUnavailable(PlatformError):
--- a/packages/transport/src/pearward_transport/http_client.py
+++ b/packages/transport/src/pearward_transport/http_client.py
@@ -127,8 +127,8 @@
         timeout_s: float,
     ) -> tuple[int, bytes]:
         """Make one small exchange and return status and body; raises as fetch_response does."""
-        answer = await self.fetch_response(method, path, headers, body, timeout_s=timeout_s)
-        return answer.status, answer.body
+        response = await self.fetch_response(method, path, headers, body, timeout_s=timeout_s)
+        return response.status, response.body
 
     async def fetch_response(
         self,
--- a/packages/transport/src/pearward_transport/local_server.py
+++ b/packages/transport/src/pearward_transport/local_server.py
@@ -47,8 +47,8 @@
     _connection_ended = False
 
     def process(self) -> None:
-        request = LocalRequest(self.method, self.path, self.content.read())
-        reply = self.channel.factory.handler(request)
+        local_request = LocalRequest(self.method, self.path, self.content.read())
+        reply = self.channel.factory.handler(local_request)
         if isinstance(reply, Deferred):
             reply.addCallback(self._send)
         else:
--- a/packages/transport/src/pearward_transport/platform.py
+++ b/packages/transport/src/pearward_transport/platform.py
@@ -159,8 +159,8 @@
 
     async def keep_alive(self, lease: int) -> bool:
         """Renew a lease; return whether it still existed."""
-        answer = await self._call(Path.LEASE_KEEPALIVE, etcd.keepalive_body(lease))
-        return etcd.parse_lease_ttl(answer) > 0
+        keepalive_response = await self._call(Path.LEASE_KEEPALIVE, etcd.keepalive_body(lease))
+        return etcd.parse_lease_ttl(keepalive_response) > 0
 
     async def revoke(self, lease: int) -> None:
         """End a lease and delete its keys."""
@@ -207,10 +207,10 @@
             raise PlatformUnavailable(f"{path}: {error}") from error
 
     def _exchange(self, path: str, body: bytes) -> "Deferred[tuple[int, bytes]]":
-        def answered(response: Any) -> "Deferred[tuple[int, bytes]]":
+        def read_body(response: Any) -> "Deferred[tuple[int, bytes]]":
             return readBody(response).addCallback(lambda data: (response.code, data))
 
-        return self._post(path, body).addCallback(answered)
+        return self._post(path, body).addCallback(read_body)
 
 
 class _EtcdWatch(TwistedProtocol):  # type: ignore[misc]
@@ -228,7 +228,7 @@
     def begin(self, request: "Deferred[Any]") -> None:
         """Start with the pending HTTP request of the watch."""
         self._request = request
-        request.addCallbacks(self._answered, self._failed)
+        request.addCallbacks(self._on_response, self._failed)
 
     def stop(self) -> None:
         """End the watch."""
@@ -238,16 +238,16 @@
         elif self._request is not None:
             self._request.cancel()
 
-    def _answered(self, response: Any) -> None:
+    def _on_response(self, response: Any) -> None:
         if response.code != 200:
-            self._lose()
+            self._notify_lost()
             return
         response.deliverBody(self)
         if self._stopped:
             self._abort()
 
     def _failed(self, failure: Failure) -> None:
-        self._lose()
+        self._notify_lost()
 
     def dataReceived(self, data: bytes) -> None:
         self._buffer += data
@@ -263,7 +263,7 @@
             self._on_events(events)
 
     def connectionLost(self, reason: Failure) -> None:
-        self._lose()
+        self._notify_lost()
 
     def _abort(self) -> None:
         transport = self.transport
@@ -272,7 +272,7 @@
         elif transport is not None:
             transport.loseConnection()
 
-    def _lose(self) -> None:
+    def _notify_lost(self) -> None:
         if not self._stopped:
             self._stopped = True
             self._on_lost()
