--- a/packages/cli/src/pearward_cli/__init__.py
+++ b/packages/cli/src/pearward_cli/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' command: plan, apply and edit the table; look at what runs."""
+"""The operators' command line: plan, apply and edit the table; show the daemons' state."""
--- a/packages/cli/src/pearward_cli/fleet.py
+++ b/packages/cli/src/pearward_cli/fleet.py
@@ -99,5 +99,5 @@
     """Return whether a daemon has applied at least *versions*."""
     if report.status is None:
         return False
-    known = report.status.get("versions", {})
-    return all(known.get(key, 0) >= version for key, version in versions.items())
+    applied = report.status.get("versions", {})
+    return all(applied.get(key, 0) >= version for key, version in versions.items())
--- a/packages/cli/src/pearward_cli/main.py
+++ b/packages/cli/src/pearward_cli/main.py
@@ -354,13 +354,13 @@
         running = [r for r in reports if r.status and r.status["service"] == service]
         for report in running:
             if report.status and report.status["incarnation"] in lost:
-                raise InvalidInput(f"{row}: refused: its daemon answers")
+                raise InvalidInput(f"{row}: refused: its daemon is running")
         for report in running:
             if report.status and report.status["coordinating"]:
                 for incarnation in lost:
                     await fleet.release(report.instance, incarnation)
                 return lost
-        raise DaemonDown(f"{service}: no coordinator answers")
+        raise DaemonDown(f"{service}: no coordinator responded")
 
     released = session.run(work)
     session.show(released, f"released: {', '.join(released)}")
--- a/packages/cli/src/pearward_cli/tables.py
+++ b/packages/cli/src/pearward_cli/tables.py
@@ -142,7 +142,7 @@
             try:
                 found = await self._read(service)
             except PlatformDown:
-                raise PlatformDown(f"{lost}; it is not known whether it was written") from lost
+                raise PlatformDown(f"{lost}; the change may or may not have been written") from lost
             if found.table.write_id == table.write_id:
                 return True
             if found.revision == revision:
--- a/packages/transport/src/pearward_transport/errors.py
+++ b/packages/transport/src/pearward_transport/errors.py
@@ -39,7 +39,7 @@
 
 
 class PlatformUnavailable(PlatformError):
-    """The service did not answer in time; a write may or may not have taken effect."""
+    """The service did not respond in time; a write may or may not have taken effect."""
 
 
 class CasConflict(PlatformError):
--- a/packages/transport/src/pearward_transport/server_connection.py
+++ b/packages/transport/src/pearward_transport/server_connection.py
@@ -132,7 +132,7 @@
         self._sink: ResponseSink | None = None
         self._method = b""
         self._status = 0
-        self._block: list[bytes] = []
+        self._header_lines: list[bytes] = []
         self._length: int | None = None
         self._chunked = False
         self._keep_alive = True
@@ -141,7 +141,7 @@
         self._connected = False
         self._skipping = False
         self._in_unframed_body = False
-        self._used_at = 0.0
+        self._last_used_at = 0.0
         self._idle_limit_s = owner.idle_limit_s
 
     @property
@@ -159,7 +159,7 @@
 
     def idle_expired(self, now: float) -> bool:
         """Whether the server may be about to close this idle connection."""
-        return now - self._used_at > self._idle_limit_s
+        return now - self._last_used_at > self._idle_limit_s
 
     # -- the request ----------------------------------------------------------
 
@@ -218,7 +218,7 @@
     def _expect_head(self) -> None:
         self.state = STATUS
         self._partialHeader = None
-        self._block = []
+        self._header_lines = []
         self._length = None
         self._chunked = False
         self._skipping = False
@@ -251,7 +251,7 @@
 
     def connectionMade(self) -> None:
         self._connected = True
-        self._used_at = self._owner.now()
+        self._last_used_at = self._owner.now()
         self.transport.setTcpNoDelay(True)
         _end_when_silent(self.transport.socket)
         self.state = STATUS
@@ -308,9 +308,9 @@
             if lower == b"keep-alive":
                 self._note_idle_limit(value)
             return
-        if len(self._block) >= MAX_RESPONSE_HEADERS:
+        if len(self._header_lines) >= MAX_RESPONSE_HEADERS:
             raise ValueError("too many headers")
-        self._block.append(b"%b: %b\r\n" % (name, value))
+        self._header_lines.append(b"%b: %b\r\n" % (name, value))
 
     def _note_idle_limit(self, value: bytes) -> None:
         """Set the idle limit from the timeout of a Keep-Alive header."""
@@ -326,14 +326,14 @@
         if 100 <= self._status < 200:
             self._expect_head()
             return
-        self._skipping = not sink.accepts(b"".join(self._block))
+        self._skipping = not sink.accepts(b"".join(self._header_lines))
         bodiless = self._status in _BODILESS or self._method == b"HEAD"
         if bodiless or (not self._chunked and self._length == 0):
             length = 0
         else:
             length = UNKNOWN_LENGTH if self._chunked or self._length is None else self._length
         if not self._skipping:
-            sink.answer_head(self._status, b"".join(self._block), length)
+            sink.answer_head(self._status, b"".join(self._header_lines), length)
         if length == 0:
             self._message_complete(self.clearLineBuffer())
         elif self._chunked:
@@ -356,7 +356,7 @@
         sink, self._sink = self._sink, None
         if sink is None:
             return
-        self._used_at = self._owner.now()
+        self._last_used_at = self._owner.now()
         self.state = DONE
         if rest or not self._keep_alive or self._sending or not self._connected:
             self.close()
