--- a/packages/transport/src/pearward_transport/server_connection.py
+++ b/packages/transport/src/pearward_transport/server_connection.py
@@ -369,7 +369,7 @@
     def _skip_to_next(self, rest: bytes) -> None:
         """Read the next response after a surplus one."""
         if not self._connected or not self._keep_alive:
-            self._fail("the connection closed after a response to another request")
+            self._fail("the connection ended with an answer to another request")
             return
         self.setLineMode()
         self._expect_head()
