--- a/packages/devtools/src/pearward_devtools/mesh/cluster.py
+++ b/packages/devtools/src/pearward_devtools/mesh/cluster.py
@@ -1,6 +1,6 @@
-"""Real processes of a users' platform on loopback: its store, targets, and our daemons.
+"""Run a platform's store, its targets and the daemons as processes on loopback, for tests.
 
-This is tooling: pearwardd itself starts no process. Every process is ended by its own id.
+This is tooling: pearwardd itself starts no process. Each process is ended by its own id.
 """
 
 import contextlib
@@ -27,20 +27,23 @@
 _NETWORKS = itertools.count(1)
 PROXY_CONTROL = 8207
 PROXY_OFFSET = 100
-"""Added to the last byte of a daemon's IP where the proxy listens in its place."""
+"""Offset from the last byte of a daemon's IP to that of the proxy address in front of it."""
 HOST = "app.example"
 COLD_PER_S = 5.0
-"""Requests a second that a cold target bears."""
+"""Requests per second that a cold target accepts."""
 SILENT_MS = 12_000
-"""Silence after which an owner loses its keys here: on a crowded machine a daemon that was
-killed needs up to seven seconds to stand again, and that is not what the tests are about."""
+"""Silence after which an owner loses its keys.
+
+A killed daemon needs up to 7 s to restart on a loaded machine; a shorter limit would reassign its
+keys in tests of other behaviour.
+"""
 LINK_MBIT_PER_S = 40.0
-"""Rate that daemons take their links for: long answers go out in turns, none for long."""
+"""Link rate configured in the daemons, so that long responses are sent in interleaved chunks."""
 
 
 @dataclass
 class MeshNode:
-    """One instance: a target and the daemon beside it."""
+    """One instance: a target and its local daemon."""
 
     name: str
     ip: str
@@ -53,7 +56,7 @@
 
 @dataclass(frozen=True)
 class Reply:
-    """An answer to a caller."""
+    """A response to a caller."""
 
     status: int
     headers: dict[str, str]
@@ -96,15 +99,15 @@
         """Folder of the processes' logs."""
         return Path(self._directory.name)
 
-    # -- life --------------------------------------------------------------------------
+    # -- lifecycle ---------------------------------------------------------------------
 
     def start(self) -> None:
-        """Start everything and wait until it serves."""
+        """Start all processes and wait until every key is served."""
         self._store = self._spawn(
             "store", "-m", "pearward_devtools.mesh.store", "--ip", f"{self._network}.1",
             "--port", str(STORE_PORT),
         )  # fmt: skip
-        wait_until(lambda: self._answers(f"{self._network}.1:{STORE_PORT}"), "the store")
+        wait_until(lambda: self._is_reachable(f"{self._network}.1:{STORE_PORT}"), "the store")
         self.configure()
         if self._proxied:
             self._start_proxy()
@@ -119,9 +122,9 @@
         """End every process."""
         for node in self.nodes:
             for process in (node.daemon, node.target):
-                _end(process)
-        _end(self._store)
-        _end(self._proxy)
+                _kill_process(process)
+        _kill_process(self._store)
+        _kill_process(self._proxy)
         self._claimed.release()
         self._directory.cleanup()
 
@@ -146,21 +149,23 @@
         node.target = self._spawn(f"{node.name}-target", *arguments, *keyed, *by_call)
 
     def _start_proxy(self) -> None:
-        """Start the proxy that stands between the daemons."""
+        """Start the fault proxy on the links between daemons."""
         control = f"{self._network}.2:{PROXY_CONTROL}"
-        links = [part for n in self.nodes for part in ("--link", f"{self._seen(n)}={n.ip}:{PEERS}")]
+        links = [
+            part for n in self.nodes for part in ("--link", f"{self._proxy_ip(n)}={n.ip}:{PEERS}")
+        ]
         self._proxy = self._spawn(
             "proxy", "-m", "pearward_devtools.fault_proxy", "--control", control, *links
         )
-        wait_until(lambda: self._answers(control), "the proxy")
+        wait_until(lambda: self._is_reachable(control), "the proxy")
 
-    def _seen(self, node: MeshNode) -> str:
-        """Return the IP at which the proxy stands in for a daemon."""
+    def _proxy_ip(self, node: MeshNode) -> str:
+        """Return the IP at which the proxy accepts connections for a daemon."""
         network, _, number = node.ip.rpartition(".")
         return f"{network}.{int(number) + PROXY_OFFSET}"
 
     def link_faults(self, faults: list[dict[str, Any]]) -> None:
-        """Set the faults between daemons; see fault_proxy."""
+        """Replace the faults on the links between daemons; see fault_proxy."""
         body = json.dumps(faults).encode()
         self._http(f"{self._network}.2:{PROXY_CONTROL}", "POST", "/faults", body)
 
@@ -183,7 +188,7 @@
                 "heartbeats": f"{ip}:{HEARTBEATS}",
                 "readiness": f"{ip}:{READINESS}",
                 "peers": f"{ip}:{PEERS}",
-                "peers_reached_at": f"{self._seen(node) if self._proxied else ip}:{PEERS}",
+                "peers_reached_at": f"{self._proxy_ip(node) if self._proxied else ip}:{PEERS}",
                 "metrics": f"{ip}:{METRICS}",
             },
             "store": {"address": f"{self._network}.1:{STORE_PORT}"},
@@ -195,7 +200,7 @@
     # -- the operators ------------------------------------------------------------------
 
     def configure(self, **routes: dict[str, Any]) -> None:
-        """Write the next version of the configuration, with further routes."""
+        """Write the next version of the configuration, with additional routes."""
         document: dict[str, Any] = {
             "version": f"r{self.version}",
             "routes": {},
@@ -219,11 +224,11 @@
         self.version += 1
 
     def write_configuration(self, document: str) -> None:
-        """Write a document as it is."""
+        """Write a configuration document unchanged."""
         self.store_call("/standin/configuration", document)
 
     def drain(self, domain: str, entry: str | None = "{}") -> None:
-        """Drain a failure domain, or take that back (None)."""
+        """Drain a failure domain, or cancel its drain if *entry* is None."""
         self.store_call("/standin/drain", json.dumps({"domain": domain, "entry": entry}))
 
     def store_call(self, path: str, body: str = "{}") -> Any:
@@ -252,40 +257,40 @@
             connection.close()
 
     def state(self, node: MeshNode) -> dict[str, Any]:
-        """Return what a target says of itself."""
+        """Return a target's state: its id, held key ranges and executed requests."""
         found: dict[str, Any] = json.loads(
             self._http(f"{node.ip}:{TARGET}", "GET", "/standin/state")
         )
         return found
 
     def tell_target(self, node: MeshNode, what: str, body: str = "{}") -> None:
-        """Tell a target to drain or to leave, or to take the next grants late."""
+        """Send a control request to a target: ``drain``, ``leave``, ``cold`` or ``late``."""
         self._http(f"{node.ip}:{TARGET}", "POST", f"/standin/{what}", body.encode())
 
     def metrics(self, node: MeshNode) -> str:
-        """Return a daemon's own figures."""
+        """Return a daemon's metrics."""
         return self._http(f"{node.ip}:{METRICS}", "GET", "/metrics").decode()
 
     def ready(self, node: MeshNode) -> bool:
-        """Return whether a daemon says that it is ready."""
-        return self._answers(f"{node.ip}:{READINESS}")
+        """Return whether a daemon reports itself ready."""
+        return self._is_reachable(f"{node.ip}:{READINESS}")
 
     def log_lines(self) -> list[dict[str, Any]]:
-        """Return what all daemons have logged, in no order of time."""
+        """Return the log records of all daemons, not sorted by time."""
         found: list[dict[str, Any]] = []
         for path in self.logs.glob("*.log"):
             for line in path.read_text(encoding="utf-8").splitlines():
                 with contextlib.suppress(json.JSONDecodeError):
                     found.append(json.loads(line))
-        # Targets write down what they run as well; only lines of daemons have a type.
+        # Targets also log JSON lines, one per request; only daemon records have a message type.
         return [line for line in found if "message_type" in line]
 
     def wait_served(self) -> None:
-        """Wait until all daemons are ready and every key can be asked for."""
+        """Wait until all daemons are ready and every key is served."""
         wait_until(lambda: all(self.ready(node) for node in self.nodes), "daemons to be ready")
-        wait_until(self._all_served, "every key to be served")
+        wait_until(self._all_keys_served, "every key to be served")
 
-    def _all_served(self) -> bool:
+    def _all_keys_served(self) -> bool:
         keyed = f"/{self._keyed}/safe/"
         return all(
             self.call(
@@ -295,7 +300,7 @@
         )  # fmt: skip
 
     def all_pooled_served(self) -> bool:
-        """Return whether every daemon serves the services that are not divided by key."""
+        """Return whether every daemon serves the services without sharding."""
         pooled = [name for name in self._services if name != self._keyed]
         return all(
             self.call(node, f"/{name}/safe/", headers={"Request-Id": "w"}).status == 200
@@ -309,7 +314,7 @@
         node.daemon.send_signal(signal.SIGKILL)
         node.daemon.wait()
 
-    def _answers(self, address: str) -> bool:
+    def _is_reachable(self, address: str) -> bool:
         try:
             self._http(address, "GET", "/")
         except OSError as error:
@@ -330,15 +335,15 @@
 
 
 class _StatusError(OSError):
-    """An answer with another status than 200."""
+    """An HTTP response with a status other than 200."""
 
-    def __init__(self, status: int, what: str) -> None:
-        super().__init__(f"{what}: HTTP {status}")
+    def __init__(self, status: int, call: str) -> None:
+        super().__init__(f"{call}: HTTP {status}")
         self.status = status
 
 
-def _end(process: subprocess.Popen[bytes] | None) -> None:
-    """Kill a process that this cluster has started."""
+def _kill_process(process: subprocess.Popen[bytes] | None) -> None:
+    """Kill a process of this cluster, if it runs."""
     if process is not None and process.poll() is None:
         process.kill()
         process.wait()
--- a/packages/devtools/src/pearward_devtools/mesh/kept_copies.py
+++ b/packages/devtools/src/pearward_devtools/mesh/kept_copies.py
@@ -1,4 +1,4 @@
-"""Copies that a stand-in of the store keeps of its last seconds, to come back from one of them."""
+"""Recent snapshots of a store stand-in, from which it can be restored."""
 
 from collections import deque
 from collections.abc import Callable
@@ -7,8 +7,8 @@
 
 __all__ = ["KeptCopies", "StoreCopy"]
 
-COPY_EVERY_S = 0.5
-COPIES_KEPT = 20
+SNAPSHOT_INTERVAL_S = 0.5
+MAX_SNAPSHOTS = 20
 
 _T = TypeVar("_T")
 _Item = TypeVar("_Item")
@@ -17,28 +17,28 @@
 
 @dataclass(frozen=True)
 class StoreCopy(Generic[_Item, _Event]):
-    """What a store had at one moment."""
+    """The content of a store at one time."""
 
     items: dict[str, _Item]
     leases: dict[int, float]
-    """Each lease with its time to live in s, which begins anew when the copy returns."""
+    """Time to live of each lease in seconds; it restarts when the snapshot is restored."""
     revision: int
     next_lease: int
     history: list[_Event]
 
 
 class KeptCopies(Generic[_T]):
-    """The newest copies, with the times at which they were made."""
+    """The most recent snapshots and the times at which they were taken."""
 
     def __init__(self) -> None:
-        self._copies: deque[tuple[float, _T]] = deque(maxlen=COPIES_KEPT)
+        self._copies: deque[tuple[float, _T]] = deque(maxlen=MAX_SNAPSHOTS)
 
-    def keep(self, now: float, copied: Callable[[], _T]) -> None:
-        """Keep a copy if the last one is old enough."""
-        if not self._copies or now - self._copies[-1][0] >= COPY_EVERY_S:
-            self._copies.append((now, copied()))
+    def keep(self, now: float, take_copy: Callable[[], _T]) -> None:
+        """Take a snapshot if the last one is at least ``SNAPSHOT_INTERVAL_S`` old."""
+        if not self._copies or now - self._copies[-1][0] >= SNAPSHOT_INTERVAL_S:
+            self._copies.append((now, take_copy()))
 
     def of(self, at: float) -> _T:
-        """Return the newest copy that was kept by a time, or the oldest that there is."""
+        """Return the newest snapshot taken by *at*, or the oldest one if there is none."""
         older = [copy for kept_at, copy in self._copies if kept_at <= at]
         return older[-1] if older else self._copies[0][1]
--- a/packages/devtools/src/pearward_devtools/mesh/store.py
+++ b/packages/devtools/src/pearward_devtools/mesh/store.py
@@ -1,16 +1,21 @@
-"""A stand-in for the users' platform's store: revisions, leases, transactions, watches.
-
-Faults are set over ``POST /standin/faults``: ``mode`` (``busy``, ``many``, ``silent``,
-``reset``), ``only`` (source IPs that it applies to; empty is all), ``delay_s``,
-``lose_writes`` (how many writes are done and not answered), ``late_s`` (done so much later),
-``lapse`` (whether leases run out in a fault). ``POST /standin/forget`` drops the history,
-``POST /standin/revoke`` takes keys under a prefix away, ``GET /standin/counts`` tells how
-often each call was made, ``PUT /standin/configuration`` is the operator's write, and
-``POST /standin/drain`` with ``domain`` and ``entry`` (null takes it back) another one.
-``POST /standin/return`` with ``away_s`` and ``age_s`` lets the store go away and come back from a
-copy of that age; ``POST /standin/copy`` keeps the one that it comes back from where no age is
-given. What pearward wrote since is gone, numbers are given out again, and ``Store-Era`` in all
-answers is one higher.
+"""A stand-in for the platform's store, with revisions, leases, transactions and watches.
+
+Control requests:
+
+* ``POST /standin/faults`` sets faults: ``mode`` (``busy``, ``many``, ``silent``, ``reset``),
+  ``only`` (source IPs to which the mode applies; empty for all), ``delay_s``, ``lose_writes``
+  (number of writes that get no response), ``late_s`` (delay after which those are applied) and
+  ``lapse`` (whether leases expire while a mode is set).
+* ``POST /standin/forget`` drops the history, so that older revisions can't be watched.
+* ``POST /standin/revoke`` removes the keys under a prefix.
+* ``GET /standin/counts`` returns the number of calls by name.
+* ``PUT /standin/configuration`` writes the operator's configuration.
+* ``POST /standin/drain`` with ``domain`` and ``entry`` drains a failure domain; a null entry
+  cancels the drain.
+* ``POST /standin/return`` with ``away_s`` and ``age_s`` makes the store unavailable for ``away_s``,
+  then restores it from a copy of that age. Later writes of pearward are lost, revisions and lease
+  ids are reused, and ``Store-Era`` in all responses increases by one.
+* ``POST /standin/copy`` saves the copy that is restored if ``age_s`` is not given.
 """
 
 import base64
@@ -28,38 +33,38 @@
 
 __all__ = ["main"]
 
-CONFIGURATION = "op/config"
-DRAINS = "op/evacuate/"
-OPERATORS = "op/"
+CONFIGURATION_KEY = "op/config"
+DRAIN_PREFIX = "op/evacuate/"
+OPERATOR_PREFIX = "op/"
 ERA_HEADER = b"Store-Era"
-BUSY, MANY, CONFLICT, GONE, NOT_FOUND = 503, 429, 412, 410, 404
+BUSY, TOO_MANY_REQUESTS, CONFLICT, GONE, NOT_FOUND = 503, 429, 412, 410, 404
 FIRST_LEASE = 100
 
 
 @dataclass
 class Item:
-    """One key."""
+    """One key with its value, revisions and lease."""
 
     key: str
     value: str
     revision: int
-    made: int
+    created_revision: int
     lease: int
 
     def as_json(self) -> dict[str, Any]:
-        """Return the item as it is sent."""
+        """Return the item as a JSON object of the store's API."""
         return {
             "privateKey": self.key,
             "value": self.value,
             "revision": self.revision,
-            "made": self.made,
+            "made": self.created_revision,
             "lease": self.lease,
         }
 
 
 @dataclass
 class Faults:
-    """What goes wrong now."""
+    """The active faults, with the fields of ``POST /standin/faults``."""
 
     mode: str = ""
     only: list[str] = field(default_factory=list)
@@ -68,14 +73,14 @@
     late_s: float = 0.0
     lapse: bool = True
 
-    def strikes(self, source: str) -> bool:
-        """Return whether calls from an IP are turned away."""
+    def applies_to(self, source: str) -> bool:
+        """Return whether calls from an IP are rejected."""
         return bool(self.mode) and (not self.only or source in self.only)
 
 
 @dataclass
 class Watch:
-    """A call that waits for changes."""
+    """A pending call that waits for changes."""
 
     request: Any
     prefix: str
@@ -94,127 +99,129 @@
         self.leases: dict[int, tuple[float, float]] = {}
         self.revision = 1
         self.history: list[tuple[int, dict[str, Any]]] = []
-        self.forgotten = 0
+        self.compacted_revision = 0
         self.watches: list[Watch] = []
         self.faults = Faults()
         self._next_lease = FIRST_LEASE
         self.era = 0
-        """How often the store has come back from an older copy."""
+        """How often the store has been restored from an older copy."""
         self._copy: _Copy | None = None
         self._copies: KeptCopies[_Copy] = KeptCopies()
 
-    def keep_copy(self) -> None:
-        """Keep a copy of everything, to come back from where no age is asked for."""
-        self._copy = self._copied()
+    def save_copy(self) -> None:
+        """Save the copy that ``restore`` uses if no age is given."""
+        self._copy = self._take_copy()
 
-    def _copied(self) -> _Copy:
+    def _take_copy(self) -> _Copy:
         items = {key: replace(item) for key, item in self.items.items()}
         leases = {lease: ttl_s for lease, (ttl_s, _) in self.leases.items()}
         history = list(self.history)
         return StoreCopy(items, leases, self.revision, self._next_lease, history)
 
-    def go_back(self, away_s: float, age_s: float | None) -> None:
-        """Turn everybody away for a while, then answer from a copy."""
+    def restore(self, away_s: float, age_s: float | None) -> None:
+        """Reset all connections for *away_s* seconds, then restore the store from a copy."""
         copy = self._copy
         if age_s is not None:
             copy = self._copies.of(reactor.seconds() - age_s)
-        assert copy is not None, "neither an age nor a copy"
+        assert copy is not None, "no age given and no copy saved"
         self.faults = Faults(mode="reset", lapse=False)
-        self.cut_watches()
-        reactor.callLater(away_s, self._return, copy)
+        self.abort_watches()
+        reactor.callLater(away_s, self._restore, copy)
 
-    def _return(self, copy: _Copy) -> None:
+    def _restore(self, copy: _Copy) -> None:
         now = reactor.seconds()
-        operators = [item for key, item in self.items.items() if key.startswith(OPERATORS)]
+        operators = [item for key, item in self.items.items() if key.startswith(OPERATOR_PREFIX)]
         self.era += 1
         self.faults = Faults()
-        self.items = {k: replace(i) for k, i in copy.items.items() if not k.startswith(OPERATORS)}
+        self.items = {
+            k: replace(i) for k, i in copy.items.items() if not k.startswith(OPERATOR_PREFIX)
+        }
         self.leases = {lease: (ttl_s, now + ttl_s) for lease, ttl_s in copy.leases.items()}
         self.revision = copy.revision
         self._next_lease = copy.next_lease
         self.history = list(copy.history)
-        self.forgotten = min(self.forgotten, copy.revision)
+        self.compacted_revision = min(self.compacted_revision, copy.revision)
         for item in operators:
             self.revision += 1
             self.put(item.key, item.value, 0)
 
-    def cut_watches(self) -> None:
-        """Break the calls off that wait for changes."""
+    def abort_watches(self) -> None:
+        """Abort the connections of all pending watches."""
         for watch in list(self.watches):
             self.watches.remove(watch)
             watch.timer.cancel()
             watch.request.transport.abortConnection()
 
     def put(self, key: str, value: str, lease: int) -> None:
-        """Write a key at the present revision."""
+        """Write a key at the current revision."""
         before = self.items.get(key)
-        made = before.made if before else self.revision
-        item = self.items[key] = Item(key, value, self.revision, made, lease)
-        self._changed(item.as_json())
+        created = before.created_revision if before else self.revision
+        item = self.items[key] = Item(key, value, self.revision, created, lease)
+        self._record_event(item.as_json())
 
     def remove(self, key: str) -> None:
-        """Take a key away."""
+        """Remove a key, if it exists."""
         if self.items.pop(key, None) is not None:
             self.revision += 1
-            self._changed({"privateKey": key, "revision": self.revision, "gone": True})
+            self._record_event({"privateKey": key, "revision": self.revision, "gone": True})
 
-    def _changed(self, event: dict[str, Any]) -> None:
+    def _record_event(self, event: dict[str, Any]) -> None:
         self.history.append((self.revision, event))
-        reactor.callLater(0, self.wake)
+        reactor.callLater(0, self.complete_watches)
 
-    def wake(self) -> None:
-        """Answer the watches that something has come for."""
+    def complete_watches(self) -> None:
+        """Complete the watches that have events."""
         for watch in list(self.watches):
             events = self.events(watch.prefix, watch.after)
             if events:
-                self.end_watch(watch, events)
+                self.complete_watch(watch, events)
 
     def events(self, prefix: str, after: int) -> list[dict[str, Any]]:
-        """Return what has changed under a prefix since a revision."""
+        """Return the events under a prefix after a revision."""
         return [e for r, e in self.history if r > after and e["privateKey"].startswith(prefix)]
 
-    def end_watch(self, watch: Watch, events: list[dict[str, Any]]) -> None:
-        """Answer a watch."""
+    def complete_watch(self, watch: Watch, events: list[dict[str, Any]]) -> None:
+        """Respond to a watch and remove it."""
         self.watches.remove(watch)
         if watch.timer.active():
             watch.timer.cancel()
-        _answer(watch.request, 200, {"events": events, "at": self.revision})
+        _respond(watch.request, 200, {"events": events, "at": self.revision})
 
     def grant(self, ttl_ms: int) -> int:
-        """Return a new lease."""
+        """Create a lease and return its id."""
         self._next_lease += 1
         ttl_s = ttl_ms / 1000
         self.leases[self._next_lease] = (ttl_s, reactor.seconds() + ttl_s)
         return self._next_lease
 
-    def keep(self, lease: int) -> bool:
-        """Renew a lease; return whether it was there."""
+    def renew(self, lease: int) -> bool:
+        """Renew a lease; return whether it exists."""
         if lease not in self.leases:
             return False
         ttl_s, _ = self.leases[lease]
         self.leases[lease] = (ttl_s, reactor.seconds() + ttl_s)
         return True
 
-    def end(self, lease: int) -> bool:
-        """End a lease, and its keys; return whether it was there."""
+    def end_lease(self, lease: int) -> bool:
+        """End a lease and remove its keys; return whether it existed."""
         there = self.leases.pop(lease, None) is not None
         for key in [k for k, item in self.items.items() if item.lease == lease]:
             self.remove(key)
         return there
 
     def expire(self) -> None:
-        """End the leases that have run out."""
+        """End expired leases, and schedule the next check."""
         reactor.callLater(0.05, self.expire)
         if self.faults.mode and not self.faults.lapse:
             return
         now = reactor.seconds()
-        self._copies.keep(now, self._copied)
+        self._copies.keep(now, self._take_copy)
         for lease, (_, until) in list(self.leases.items()):
             if until <= now:
-                self.end(lease)
+                self.end_lease(lease)
 
     def commit(self, body: dict[str, Any]) -> tuple[int, dict[str, Any]]:
-        """Do a transaction, wholly or not at all; return status and answer."""
+        """Apply a transaction atomically; return the HTTP status and the response body."""
         rows = body["expectedRevision"]
         present = {row["privateKey"]: self.items.get(row["privateKey"]) for row in rows}
         for row in rows:
@@ -232,7 +239,7 @@
         return 200, {"revision": self.revision}
 
 
-def _answer(request: Any, status: int, body: object) -> None:
+def _respond(request: Any, status: int, body: object) -> None:
     if request.finished or request._disconnected:
         return
     request.setResponseCode(status)
@@ -242,8 +249,8 @@
     request.finish()
 
 
-class _Calls(Resource):
-    """All calls."""
+class _StoreResource(Resource):
+    """Serve the store's API and the control requests."""
 
     isLeaf = True
 
@@ -254,7 +261,7 @@
 
     @property
     def store(self) -> Store:
-        """What the calls are made to."""
+        """The store that serves the calls."""
         return self._store
 
     def render(self, request: Any) -> Any:
@@ -263,21 +270,21 @@
             return self._control(request)
         self._counts[name] += 1
         faults = self._store.faults
-        if faults.strikes(request.getClientAddress().host):
-            return self._turned_away(request, faults.mode)
+        if faults.applies_to(request.getClientAddress().host):
+            return self._reject(request, faults.mode)
         if faults.delay_s:
             reactor.callLater(faults.delay_s, self._serve, request)
         else:
             self._serve(request)
         return NOT_DONE_YET
 
-    def _turned_away(self, request: Any, mode: str) -> Any:
+    def _reject(self, request: Any, mode: str) -> Any:
         if mode == "silent":
             return NOT_DONE_YET
         if mode == "reset":
             request.transport.abortConnection()
             return NOT_DONE_YET
-        _answer(request, BUSY if mode == "busy" else MANY, {})
+        _respond(request, BUSY if mode == "busy" else TOO_MANY_REQUESTS, {})
         return NOT_DONE_YET
 
     def _serve(self, request: Any) -> None:
@@ -290,9 +297,9 @@
             case "kv-key":
                 item = store.items.get(argument["privateKey"])
                 if item is None:
-                    _answer(request, NOT_FOUND, {})
+                    _respond(request, NOT_FOUND, {})
                 else:
-                    _answer(request, 200, {**item.as_json(), "at": store.revision})
+                    _respond(request, 200, {**item.as_json(), "at": store.revision})
             case "kv-range":
                 self._range(request, argument)
             case "kv-watch":
@@ -301,13 +308,13 @@
                 self._commit(request, body)
             case "kv-lease":
                 lease = store.grant(body["ttl_ms"])
-                _answer(request, 200, {"lease": lease, "ttl_ms": body["ttl_ms"]})
+                _respond(request, 200, {"lease": lease, "ttl_ms": body["ttl_ms"]})
             case "kv-keep":
-                _answer(request, 200 if store.keep(int(rest)) else NOT_FOUND, {"ttl_ms": 0})
+                _respond(request, 200 if store.renew(int(rest)) else NOT_FOUND, {"ttl_ms": 0})
             case "kv-lease-end":
-                _answer(request, 200 if store.end(int(rest)) else NOT_FOUND, {})
+                _respond(request, 200 if store.end_lease(int(rest)) else NOT_FOUND, {})
             case _:
-                _answer(request, NOT_FOUND, {})
+                _respond(request, NOT_FOUND, {})
 
     def _range(self, request: Any, argument: dict[str, str]) -> None:
         store = self._store
@@ -318,22 +325,22 @@
             if key.startswith(argument["pathPrefix"]) and key > after
         ]
         page = found[:500]
-        _answer(request, 200, {"items": page, "more": len(found) > 500, "at": store.revision})
+        _respond(request, 200, {"items": page, "more": len(found) > 500, "at": store.revision})
 
     def _watch(self, request: Any, argument: dict[str, str]) -> None:
         store = self._store
         after = int(argument["after"])
-        if after < store.forgotten or after > store.revision:
-            _answer(request, GONE, {})
+        if after < store.compacted_revision or after > store.revision:
+            _respond(request, GONE, {})
             return
         prefix = argument["pathPrefix"]
         events = store.events(prefix, after)
         if events:
-            _answer(request, 200, {"events": events, "at": store.revision})
+            _respond(request, 200, {"events": events, "at": store.revision})
             return
         wait_s = int(argument["waitMs"]) / 1000
         watch = Watch(request, prefix, after, None)
-        watch.timer = reactor.callLater(wait_s, lambda: store.end_watch(watch, []))
+        watch.timer = reactor.callLater(wait_s, lambda: store.complete_watch(watch, []))
         store.watches.append(watch)
 
     def _commit(self, request: Any, body: dict[str, Any]) -> None:
@@ -342,7 +349,7 @@
             store.faults.lose_writes -= 1
             reactor.callLater(store.faults.late_s, store.commit, body)
             return
-        _answer(request, *store.commit(body))
+        _respond(request, *store.commit(body))
 
     def _control(self, request: Any) -> bytes:
         store = self._store
@@ -355,44 +362,44 @@
                 return json.dumps(values).encode()
             case b"/standin/configuration":
                 store.revision += 1
-                store.put(CONFIGURATION, base64.b64encode(body).decode(), 0)
+                store.put(CONFIGURATION_KEY, base64.b64encode(body).decode(), 0)
             case b"/standin/drain":
                 self._drain(json.loads(body))
             case b"/standin/faults":
                 store.faults = Faults(**json.loads(body or b"{}"))
             case b"/standin/forget":
-                store.forgotten = store.revision
+                store.compacted_revision = store.revision
                 store.history.clear()
-                store.cut_watches()
+                store.abort_watches()
             case b"/standin/copy":
-                store.keep_copy()
+                store.save_copy()
             case b"/standin/return":
-                asked = json.loads(body)
-                store.go_back(asked["away_s"], asked.get("age_s"))
+                outage = json.loads(body)
+                store.restore(outage["away_s"], outage.get("age_s"))
             case b"/standin/revoke":
                 prefix = json.loads(body)["prefix"]
                 for key in [k for k in store.items if k.startswith(prefix)]:
                     store.remove(key)
         return b"{}"
 
-    def _drain(self, asked: dict[str, Any]) -> None:
-        """Write the operator's entry of a failure domain, or take it back."""
-        store, key = self._store, DRAINS + asked["domain"]
-        if asked["entry"] is None:
+    def _drain(self, request: dict[str, Any]) -> None:
+        """Write the operator's drain entry of a failure domain, or remove it."""
+        store, key = self._store, DRAIN_PREFIX + request["domain"]
+        if request["entry"] is None:
             store.remove(key)
             return
         store.revision += 1
-        store.put(key, base64.b64encode(asked["entry"].encode()).decode(), 0)
+        store.put(key, base64.b64encode(request["entry"].encode()).decode(), 0)
 
 
 @click.command()
 @click.option("--ip", required=True)
 @click.option("--port", required=True, type=int)
 def main(ip: str, port: int) -> None:
-    """Serve a store in memory."""
+    """Serve an in-memory store."""
     store = Store()
     store.expire()
-    site = Site(_Calls(store))
+    site = Site(_StoreResource(store))
     site.noisy = False
     reactor.listenTCP(port, site, interface=ip, backlog=512)
     reactor.run()
