--- a/packages/devtools/src/pearward_devtools/cluster.py
+++ b/packages/devtools/src/pearward_devtools/cluster.py
@@ -1,7 +1,7 @@
-"""Real processes on loopback: the platform, servers, daemons and the fault proxy.
+"""Run a platform, servers, daemons and a fault proxy as processes on loopback.
 
-Every cluster has a /16 of its own within 127.0.0.0/8, so that several can run at once
-with the same ports. This is tooling: pearwardd itself starts no process.
+Each cluster has its own /16 network within 127.0.0.0/8, so that several clusters can use the same
+ports at the same time. This is tooling: pearwardd itself starts no process.
 """
 
 import http.client
@@ -64,7 +64,7 @@
 
 @dataclass
 class Node:
-    """One instance: a server and the daemon beside it."""
+    """One instance: a server and its local daemon."""
 
     name: str
     service: str
@@ -83,7 +83,7 @@
 
     @property
     def admin(self) -> str:
-        """Address of the operators' port."""
+        """Address of the admin port."""
         return f"{self.ip}:{ADMIN_PORT}"
 
     @property
@@ -93,7 +93,7 @@
 
 
 def http_json(address: str, method: str, path: str, body: object = None) -> Any:
-    """Make a small HTTP call and return the parsed answer."""
+    """Make an HTTP call and return its JSON body; raises OSError unless the status is 200."""
     connection = http.client.HTTPConnection(address, timeout=5)
     try:
         data = json.dumps(body).encode() if body is not None else None
@@ -133,7 +133,7 @@
 
     @property
     def directory(self) -> Path:
-        """Where settings and logs of the processes are."""
+        """Folder of the processes' settings and logs."""
         return Path(self._dir.name)
 
     @property
@@ -145,12 +145,12 @@
         """Return the nodes of a service."""
         return [node for node in self.nodes if node.service == service]
 
-    # -- life -------------------------------------------------------------------
+    # -- lifecycle ----------------------------------------------------------------
 
     def start(self, *, wait: bool = True) -> None:
-        """Start everything and wait until every daemon is ready."""
+        """Start all processes and, by default, wait until every daemon is ready."""
         self.start_platform()
-        self._make_nodes()
+        self._create_nodes()
         for service in self._services:
             self.put_table(service.name, self._rows(service))
         for node in self.nodes:
@@ -166,12 +166,12 @@
             self.wait_ready()
 
     def wait_ready(self) -> None:
-        """Wait until every daemon that was started is ready and knows every service."""
+        """Wait until every running daemon is ready and has every service's record."""
         wait_until(self.ready, "daemons to be ready")
 
     def ready(self) -> bool:
-        """Return whether every running daemon is ready and knows every service's record."""
-        wanted = {f"cell/{s.name}" for s in self._services}
+        """Return whether every running daemon is ready and has every service's record."""
+        expected = {f"cell/{s.name}" for s in self._services}
         for node in self.nodes:
             if node.daemon is None:
                 continue
@@ -179,7 +179,7 @@
             if (
                 status is None
                 or status["ready"] != "ready"
-                or not wanted <= set(status["versions"])
+                or not expected <= set(status["versions"])
             ):
                 return False
         return True
@@ -207,7 +207,7 @@
         self._platform = self._run(
             "platform", "pearward_devtools.standin_platform", "--address", self.platform_address
         )
-        wait_until(lambda: self._answers(self.platform_address, "/"), "the platform")
+        wait_until(lambda: self._is_reachable(self.platform_address, "/"), "the platform")
 
     def start_server(self, node: Node) -> None:
         """Start a node's server."""
@@ -219,8 +219,8 @@
         )  # fmt: skip
 
     def wait_server(self, node: Node) -> None:
-        """Wait until a node's server answers."""
-        wait_until(lambda: self._answers(node.server_address, "/health"), node.server_address)
+        """Wait until a node's server responds to its health check."""
+        wait_until(lambda: self._is_reachable(node.server_address, "/health"), node.server_address)
 
     def start_daemon(self, node: Node) -> None:
         """Start a node's daemon."""
@@ -239,7 +239,7 @@
         node.server_process = None
 
     def terminate_daemon(self, node: Node) -> subprocess.Popen[bytes]:
-        """Begin a planned stop of a node's daemon and return its process."""
+        """Send SIGTERM to a node's daemon and return its process."""
         assert node.daemon is not None
         process, node.daemon = node.daemon, None
         process.send_signal(signal.SIGTERM)
@@ -247,20 +247,20 @@
 
     def freeze(self, node: Node, *, daemon: bool = True, server: bool = False) -> None:
         """SIGSTOP a node's processes."""
-        for process in self._chosen(node, daemon, server):
+        for process in self._processes(node, daemon, server):
             process.send_signal(signal.SIGSTOP)
 
     def resume(self, node: Node) -> None:
-        """SIGCONT a node's processes; one that runs is not harmed."""
-        for process in self._chosen(node, True, True):
+        """SIGCONT a node's processes; running ones are not affected."""
+        for process in self._processes(node, True, True):
             process.send_signal(signal.SIGCONT)
 
-    def _chosen(self, node: Node, daemon: bool, server: bool) -> list[subprocess.Popen[bytes]]:
-        chosen = [node.daemon if daemon else None, node.server_process if server else None]
-        return [process for process in chosen if process is not None]
+    def _processes(self, node: Node, daemon: bool, server: bool) -> list[subprocess.Popen[bytes]]:
+        processes = [node.daemon if daemon else None, node.server_process if server else None]
+        return [process for process in processes if process is not None]
 
     def owner_of(self, service: str, key: str) -> Node | None:
-        """Return the node that the platform's record gives a key to."""
+        """Return the node that owns a key in the platform's record, or None."""
         record = self.record(service)
         if record is None:
             return None
@@ -273,30 +273,30 @@
     # -- faults -------------------------------------------------------------------
 
     def platform_faults(self, **faults: Any) -> None:
-        """Set the platform stand-in's faults; none given ends them."""
+        """Replace the platform stand-in's faults; without arguments, end all of them."""
         http_json(self.platform_address, "POST", "/standin/faults", faults)
 
     def platform_counts(self) -> dict[str, int]:
-        """Return how often each call was made."""
+        """Return the number of calls to the platform stand-in, by path."""
         counts: dict[str, int] = http_json(self.platform_address, "GET", "/standin/counts")
         return counts
 
     def link_faults(self, faults: list[dict[str, Any]]) -> None:
-        """Set the proxy's faults."""
+        """Replace the faults on the links between daemons; see fault_proxy."""
         http_json(f"{self._net}.0.3:7900", "POST", "/faults", faults)
 
-    # -- looking ------------------------------------------------------------------
+    # -- inspection ---------------------------------------------------------------
 
     def status(self, node: Node) -> dict[str, Any] | None:
-        """Return a daemon's status, or None if it does not answer."""
+        """Return a daemon's status, or None if the daemon does not respond."""
         try:
-            answer: dict[str, Any] = http_json(node.admin, "GET", "/status")
+            reply: dict[str, Any] = http_json(node.admin, "GET", "/status")
         except (OSError, ValueError, http.client.HTTPException):
             return None
-        return answer
+        return reply
 
     def runs(self, service: str) -> list[dict[str, Any]]:
-        """Return every run at a service's living servers."""
+        """Return the runs of all running servers of a service."""
         found: list[dict[str, Any]] = []
         for node in self.of(service):
             if node.server_process is not None:
@@ -305,12 +305,12 @@
         return found
 
     def record(self, service: str) -> CellRecord | None:
-        """Return the assignment record as the platform holds it."""
+        """Return a service's assignment record from the platform, or None."""
         pair = self._get(f"cell/{service}")
         return CellRecord.from_bytes(pair[0].value) if pair else None
 
     def placements(self, service: str) -> dict[int, str]:
-        """Return the server that each shard, by its start, is given to."""
+        """Return the server of each shard by its start; empty for a shard without an owner."""
         record = self.record(service)
         if record is None:
             return {}
@@ -320,7 +320,7 @@
     # -- the platform's contents ----------------------------------------------------
 
     def put_table(self, service: str, rows: dict[str, Any]) -> None:
-        """Write a service's rows, whatever stands there."""
+        """Write a service's table, and replace an existing one."""
         pairs = self._get(f"table/{service}")
         revision = pairs[0].revision if pairs else 0
         before = (
@@ -330,10 +330,10 @@
         )
         change = Change(before.version + 1, "tooling", "1970-01-01T00:00:00Z", "set")
         table = before.changed(rows, change, f"tooling:{before.version + 1}")
-        self._swap(f"table/{service}", revision, table.to_bytes())
+        self._compare_and_swap(f"table/{service}", revision, table.to_bytes())
 
     def list_instance(self, node: Node, state: str = "live") -> None:
-        """Enter an instance into the platform's list."""
+        """Add an instance to the platform's list."""
         value = {
             "address": node.advertised_ip,
             "failure_domain": node.failure_domain,
@@ -345,26 +345,26 @@
         }
         key = f"instances/{node.name}"
         pairs = self._get(key)
-        self._swap(key, pairs[0].revision if pairs else 0, json.dumps(value).encode())
+        self._compare_and_swap(key, pairs[0].revision if pairs else 0, json.dumps(value).encode())
 
     def unlist_instance(self, node: Node) -> None:
         """Remove an instance from the platform's list."""
         pairs = self._get(f"instances/{node.name}")
         if pairs:
-            self._swap(f"instances/{node.name}", pairs[0].revision, None)
+            self._compare_and_swap(f"instances/{node.name}", pairs[0].revision, None)
 
     def _get(self, key: str) -> list[Any]:
         return parse_range(
             http_json(self.platform_address, "POST", "/v3/kv/range", range_body(key))
         )
 
-    def _swap(self, key: str, revision: int, value: bytes | None) -> None:
+    def _compare_and_swap(self, key: str, revision: int, value: bytes | None) -> None:
         body = json.loads(encode_json(txn_body(key, revision, value, 0)))
-        answer = http_json(self.platform_address, "POST", "/v3/kv/txn", body)
-        if not parse_txn_succeeded(answer):
-            raise OSError(f"{key}: changed by somebody else")
+        reply = http_json(self.platform_address, "POST", "/v3/kv/txn", body)
+        if not parse_txn_succeeded(reply):
+            raise OSError(f"{key}: changed concurrently")
 
-    # -- set-up -----------------------------------------------------------------
+    # -- setup ------------------------------------------------------------------
 
     def _rows(self, service: ServiceSpec) -> dict[str, Any]:
         servers = {
@@ -372,7 +372,7 @@
         }
         return {"service": {"kind": service.kind, **service.fields}, "servers": servers}
 
-    def _make_nodes(self) -> None:
+    def _create_nodes(self) -> None:
         number = 10
         for service in self._services:
             for index in range(service.servers):
@@ -418,7 +418,7 @@
         self._proxy = self._run(
             "proxy", "pearward_devtools.fault_proxy", "--control", control, *links
         )
-        wait_until(lambda: self._answers(control, "/"), "the proxy")
+        wait_until(lambda: self._is_reachable(control, "/"), "the proxy")
 
     def _run(self, name: str, module: str, *arguments: str) -> subprocess.Popen[bytes]:
         log = (self.directory / f"{name}.log").open("ab")
@@ -429,7 +429,7 @@
             stdin=subprocess.DEVNULL,
         )
 
-    def _answers(self, address: str, path: str) -> bool:
+    def _is_reachable(self, address: str, path: str) -> bool:
         connection = http.client.HTTPConnection(address, timeout=2)
         try:
             connection.request("GET", path)
--- a/packages/devtools/src/pearward_devtools/fault_proxy.py
+++ b/packages/devtools/src/pearward_devtools/fault_proxy.py
@@ -1,11 +1,11 @@
-"""A TCP proxy between daemons that can delay, cut, half-open and corrupt.
-
-It listens on each daemon's advertised address and knows the dialling daemon by its
-source IP, so a fault can be set for one direction of one pair. Faults are set over
-``POST /faults``: a list of ``{"from": ip, "to": ip, "kind": ..., "seconds": ...}`` with ``*``
-for any; the kinds are ``cut`` (refuse and break), ``stall`` (accept, forward nothing),
-``delay`` and ``corrupt`` (garble what is forwarded). Each connection is delayed or stalled
-as a whole, so connections overtake one another.
+"""A TCP proxy between daemons that delays, cuts, stalls or corrupts their connections.
+
+It listens on each daemon's advertised address and identifies the connecting daemon by its source
+IP, so that a fault can be set for one direction of one pair. ``POST /faults`` replaces all faults
+by a list of ``{"from": ip, "to": ip, "kind": ..., "seconds": ...}``, with ``*`` for any IP. The
+kinds are ``cut`` (refuse and abort connections), ``stall`` (accept connections, forward nothing),
+``delay`` and ``corrupt`` (garble forwarded data). Delays and stalls apply to each connection
+separately, so that data on different connections may be reordered.
 """
 
 import json
@@ -37,20 +37,20 @@
 
 
 class Faults:
-    """The faults in force."""
+    """The active faults and the connections that they affect."""
 
     def __init__(self) -> None:
         self._faults: list[Fault] = []
         self.links: set[_Inbound] = set()
 
     def set(self, faults: list[Fault]) -> None:
-        """Replace all faults; connections on a cut pair are broken."""
+        """Replace all faults, abort connections of cut pairs and resume stalled ones."""
         self._faults = faults
         for link in list(self.links):
             if self.find(link.source, link.target, "cut"):
-                link.break_off()
+                link.abort()
             else:
-                link.released()
+                link.forward_stalled()
 
     def find(self, source: str, target: str, kind: str) -> Fault | None:
         """Return the fault of that kind on a pair, if any."""
@@ -61,16 +61,16 @@
 
 
 class _Inbound(Protocol):  # type: ignore[misc]
-    """The dialling daemon's side."""
+    """The connection from the connecting daemon."""
 
     def __init__(self, faults: Faults, target: str, port: int) -> None:
         self._faults = faults
         self._port = port
         self.target = target
         self.source = ""
-        self._out: Any = None
-        self._early: list[bytes] = []
-        self._held: list[tuple[Any, bytes]] = []
+        self._outbound: Any = None
+        self._pending: list[bytes] = []
+        self._stalled: list[tuple[Any, bytes]] = []
 
     def connectionMade(self) -> None:
         self.source = self.transport.getPeer().host
@@ -84,25 +84,25 @@
         )
         factory = Factory.forProtocol(_Outbound)
         factory.noisy = False
-        endpoint.connect(factory).addCallbacks(self._connected, lambda _: self.break_off())
+        endpoint.connect(factory).addCallbacks(self._connected, lambda _: self.abort())
 
-    def _connected(self, out: "_Outbound") -> None:
-        self._out = out
-        out.inbound = self
-        out.transport.setTcpNoDelay(True)
-        for data in self._early:
-            out.transport.write(data)
-        self._early = []
+    def _connected(self, outbound: "_Outbound") -> None:
+        self._outbound = outbound
+        outbound.inbound = self
+        outbound.transport.setTcpNoDelay(True)
+        for data in self._pending:
+            outbound.transport.write(data)
+        self._pending = []
 
     def dataReceived(self, data: bytes) -> None:
-        self.forward(data, back=False)
+        self.forward(data, reverse=False)
 
-    def forward(self, data: bytes, *, back: bool) -> None:
-        """Pass data on in one direction, with the faults of that direction."""
-        pair = (self.target, self.source) if back else (self.source, self.target)
-        receiver = self if back else self._out
+    def forward(self, data: bytes, *, reverse: bool) -> None:
+        """Forward data in one direction, subject to the faults of that direction."""
+        pair = (self.target, self.source) if reverse else (self.source, self.target)
+        receiver = self if reverse else self._outbound
         if self._faults.find(*pair, "stall"):
-            self._held.append((receiver, data))
+            self._stalled.append((receiver, data))
             return
         if self._faults.find(*pair, "corrupt"):
             data = bytes(b ^ 0x5A for b in data)
@@ -112,36 +112,36 @@
             self._write(receiver, data)
 
     def _write(self, receiver: Any, data: bytes) -> None:
-        if receiver is None and self._out is None:
-            self._early.append(data)
+        if receiver is None and self._outbound is None:
+            self._pending.append(data)
         else:
-            (receiver or self._out).transport.write(data)
+            (receiver or self._outbound).transport.write(data)
 
-    def released(self) -> None:
-        """Forward what a stall held back, where it is over."""
-        held, self._held = self._held, []
-        for receiver, data in held:
-            self.forward(data, back=receiver is self)
+    def forward_stalled(self) -> None:
+        """Forward data that a stall held back, if the stall has ended."""
+        stalled, self._stalled = self._stalled, []
+        for receiver, data in stalled:
+            self.forward(data, reverse=receiver is self)
 
-    def break_off(self) -> None:
-        """Break both sides."""
+    def abort(self) -> None:
+        """Abort both connections."""
         self.transport.abortConnection()
-        if self._out is not None:
-            self._out.transport.abortConnection()
+        if self._outbound is not None:
+            self._outbound.transport.abortConnection()
 
     def connectionLost(self, reason: Any) -> None:
         self._faults.links.discard(self)
-        if self._out is not None:
-            self._out.transport.loseConnection()
+        if self._outbound is not None:
+            self._outbound.transport.loseConnection()
 
 
 class _Outbound(Protocol):  # type: ignore[misc]
-    """The side towards the daemon that is dialled."""
+    """The connection to the target daemon."""
 
     inbound: _Inbound
 
     def dataReceived(self, data: bytes) -> None:
-        self.inbound.forward(data, back=True)
+        self.inbound.forward(data, reverse=True)
 
     def connectionLost(self, reason: Any) -> None:
         if hasattr(self, "inbound"):
--- a/packages/devtools/src/pearward_devtools/memory_store.py
+++ b/packages/devtools/src/pearward_devtools/memory_store.py
@@ -1,4 +1,4 @@
-"""The platform's key-value service in memory, for tests in virtual time."""
+"""An in-memory key-value service of the platform, for tests in virtual time."""
 
 from collections.abc import Callable
 
@@ -9,7 +9,7 @@
 
 
 class _SilentWatch:
-    """A watch that never reports anything."""
+    """A watch that never delivers events."""
 
     def __init__(self, store: "MemoryStore") -> None:
         self._store = store
@@ -21,7 +21,7 @@
 
 
 class MemoryStore:
-    """Keys with their revisions; every call is answered at once, or refused while it is away."""
+    """Keys with their revisions; calls complete at once, or fail while the store is unavailable."""
 
     def __init__(self) -> None:
         self._pairs: dict[str, KeyValue] = {}
@@ -29,17 +29,17 @@
         self._lease = 0
         self.away = False
         self.reads: list[str] = []
-        """Keys and prefixes that were asked for, in order."""
+        """Keys and prefixes of all calls, in order."""
         self.watches: set[_SilentWatch] = set()
-        """Those that wait."""
+        """Watches that have not been stopped."""
 
     def put(self, key: str, value: bytes) -> None:
-        """Write a value, whatever stands there."""
+        """Write a value, regardless of the key's revision."""
         self._revision += 1
         self._pairs[key] = KeyValue(key, value, self._revision)
 
     def value(self, key: str) -> bytes:
-        """Return a value that is there; raises KeyError."""
+        """Return the value of an existing key; raises KeyError."""
         return self._pairs[key].value
 
     async def get(self, key: str) -> KeyValue | None:
@@ -63,20 +63,20 @@
         self._check(key)
         present = self._pairs.get(key)
         if (present.revision if present is not None else 0) != expected_revision:
-            raise CasConflict(f"{key}: revision is not {expected_revision} any more")
+            raise CasConflict(f"{key}: revision is no longer {expected_revision}")
         if value is None:
             self._pairs.pop(key, None)
         else:
             self.put(key, value)
 
     async def grant_lease(self, ttl_s: int) -> int:
-        """Return a new lease."""
+        """Create a lease and return its id."""
         self._check("")
         self._lease += 1
         return self._lease
 
     async def keep_alive(self, lease: int) -> bool:
-        """Renew a lease; leases do not run out here."""
+        """Renew a lease; leases of this store never expire."""
         self._check("")
         return True
 
@@ -92,10 +92,10 @@
         *,
         prefix: bool = False,
     ) -> _SilentWatch:
-        """Return a watch that stays silent: what is tested reads for itself."""
+        """Return a watch without events, since the code under test also polls."""
         return _SilentWatch(self)
 
     def _check(self, key: str) -> None:
         if self.away:
-            raise PlatformUnavailable("the store is away")
+            raise PlatformUnavailable("the store is unavailable")
         self.reads.append(key)
--- a/packages/devtools/src/pearward_devtools/mesh/soak.py
+++ b/packages/devtools/src/pearward_devtools/mesh/soak.py
@@ -322,7 +322,7 @@
                 return
 
     def start_crashed(self) -> None:
-        """Restart targets that were crashed by a request at least ``RESTART_DELAY_S`` seconds ago."""
+        """Restart targets that a request crashed at least ``RESTART_DELAY_S`` seconds ago."""
         now = time.monotonic()
         for node in self._cluster.nodes:
             process = node.target
--- a/packages/devtools/src/pearward_devtools/networks.py
+++ b/packages/devtools/src/pearward_devtools/networks.py
@@ -1,4 +1,4 @@
-"""Loopback networks for test clusters: each one is claimed by one cluster at a time."""
+"""Loopback networks for test clusters, each claimed by one cluster at a time."""
 
 import os
 import socket
@@ -7,25 +7,25 @@
 __all__ = ["ClaimedNetwork"]
 
 FIRST, COUNT = 20, 200
-"""Second numbers of the networks 127.<number>.0.0/16 that clusters use."""
+"""Range of *number* in the networks 127.<number>.0.0/16 that clusters use."""
 CLAIM_PORT = 7399
-"""Port that is held for as long as the network is claimed; no process of a cluster uses it."""
+"""Port that is bound while the network is claimed; no process of a cluster uses it."""
 
 
 @dataclass(frozen=True)
 class ClaimedNetwork:
-    """A network that no other cluster on this machine uses until it is let go."""
+    """A network that no other cluster on this machine uses until it is released."""
 
     prefix: str
-    """The first two numbers of its addresses, as ``127.20``."""
+    """The first two bytes of its addresses, for example ``127.20``."""
     _claim: socket.socket
 
     @classmethod
     def claim(cls) -> "ClaimedNetwork":
-        """Claim a free network; raises OSError where all are in use.
+        """Claim a free network; raises OSError if all are in use.
 
-        Two clusters that chose one network by their process ids wrote to one store: a cell of
-        four lost a server from its table and was never ready again.
+        The process id alone does not make the choice unique: two clusters on one network write to
+        the same store, remove servers from each other's tables and never become ready.
         """
         for offset in range(COUNT):
             prefix = f"127.{FIRST + (os.getpid() + offset) % COUNT}"
@@ -40,5 +40,5 @@
         raise OSError(f"all {COUNT} networks for test clusters are in use")
 
     def release(self) -> None:
-        """Let the network go."""
+        """Release the network."""
         self._claim.close()
--- a/packages/devtools/src/pearward_devtools/standin_platform.py
+++ b/packages/devtools/src/pearward_devtools/standin_platform.py
@@ -1,9 +1,8 @@
-"""A stand-in for the platform's key-value service: etcd v3's JSON mapping, in memory.
+"""An in-memory stand-in for the platform's key-value service, with etcd v3's JSON mapping.
 
-Faults are set over ``POST /standin/faults``: ``down`` (connections answer 503),
-``delay_s``, ``lose_answers`` (that many writes take effect and are not answered),
-``hang`` (no call is answered). ``GET /standin/counts`` tells how often each call was made; a
-waiting watch counts as one.
+``POST /standin/faults`` sets faults: ``down`` (calls fail with 503), ``delay_s``, ``lose_answers``
+(number of writes that are applied without a response) and ``hang`` (no call gets a response).
+``GET /standin/counts`` returns the number of calls by path; a pending watch counts as one.
 """
 
 import base64
@@ -22,7 +21,7 @@
 
 @dataclass
 class _Entry:
-    """One key."""
+    """The value, revision and lease of one key."""
 
     value: str
     revision: int
@@ -45,7 +44,7 @@
         return [self._pair(name, self._entries[name]) for name in names]
 
     def txn(self, body: dict[str, Any]) -> bool:
-        """Compare and, where it matches, write."""
+        """Apply a transaction if its comparisons match; return whether they do."""
         for compare in body["compare"]:
             entry = self._entries.get(base64.b64decode(compare["key"]))
             if (entry.revision if entry else 0) != int(compare["mod_revision"]):
@@ -58,13 +57,13 @@
         return True
 
     def grant(self, ttl_s: float) -> int:
-        """Return a new lease."""
+        """Create a lease and return its id."""
         self._next_lease += 1
         self._leases[self._next_lease] = (ttl_s, reactor.seconds() + ttl_s)
         return self._next_lease
 
     def keep_alive(self, lease: int) -> int:
-        """Renew a lease and return its seconds; 0 if it is gone."""
+        """Renew a lease; return its time to live in seconds, or 0 if it has expired."""
         if lease not in self._leases:
             return 0
         ttl_s, _ = self._leases[lease]
@@ -78,7 +77,7 @@
             self.delete(name)
 
     def expire(self) -> None:
-        """End the leases whose time is over."""
+        """Revoke the expired leases."""
         now = reactor.seconds()
         for lease in [i for i, (_, until) in self._leases.items() if until <= now]:
             self.revoke(lease)
@@ -88,28 +87,28 @@
         if self._entries.pop(name, None) is not None:
             self._revision += 1
             key = base64.b64encode(name).decode()
-            self._tell(name, {"type": "DELETE", "kv": {"key": key}})
+            self._send_event(name, {"type": "DELETE", "kv": {"key": key}})
 
     def watch(self, request: Any, start: bytes, end: bytes) -> None:
-        """Send changes to *request* until it ends."""
+        """Send events to *request* until its connection ends."""
         self._watches[request] = (start, end)
         request.notifyFinish().addBoth(lambda _: self._watches.pop(request, None))
         _send_line(request, {"result": {"created": True, "watch_id": "0"}})
 
     @property
     def watches(self) -> int:
-        """Watches that wait now."""
+        """The number of pending watches."""
         return len(self._watches)
 
-    def drop_watches(self) -> None:
-        """Break all watches off."""
+    def abort_watches(self) -> None:
+        """Abort the connections of all watches."""
         for request in list(self._watches):
             request.transport.abortConnection()
 
     def _put(self, name: bytes, value: str, lease: int) -> None:
         self._revision += 1
         entry = self._entries[name] = _Entry(value, self._revision, lease)
-        self._tell(name, {"kv": self._pair(name, entry)})
+        self._send_event(name, {"kv": self._pair(name, entry)})
 
     def _pair(self, name: bytes, entry: _Entry) -> dict[str, str]:
         return {
@@ -119,7 +118,7 @@
             "lease": str(entry.lease),
         }
 
-    def _tell(self, name: bytes, event: dict[str, Any]) -> None:
+    def _send_event(self, name: bytes, event: dict[str, Any]) -> None:
         for request, (start, end) in list(self._watches.items()):
             if _within(name, start, end):
                 _send_line(request, {"result": {"events": [event]}})
@@ -134,7 +133,7 @@
 
 
 class _Api(Resource):  # type: ignore[misc]
-    """All calls."""
+    """Serve the key-value API and the control requests."""
 
     isLeaf = True
 
@@ -144,10 +143,10 @@
         self._counts: Counter[str] = Counter()
         self._faults: dict[str, Any] = {}
 
-    def tick(self) -> None:
-        """Let leases run out."""
+    def expire_periodically(self) -> None:
+        """Expire leases periodically."""
         self._store.expire()
-        reactor.callLater(0.1, self.tick)
+        reactor.callLater(0.1, self.expire_periodically)
 
     def render_GET(self, request: Any) -> bytes:
         counts = dict(self._counts, watches_waiting=self._store.watches)
@@ -159,7 +158,7 @@
         if path == "/standin/faults":
             self._faults = body
             if body.get("down") or body.get("hang"):
-                self._store.drop_watches()
+                self._store.abort_watches()
             return b"{}"
         self._counts[path] += 1
         if self._faults.get("hang"):
@@ -169,19 +168,21 @@
             return b'{"error":"down"}'
         delay_s = float(self._faults.get("delay_s", 0.0))
         if delay_s:
-            gone: list[bool] = []
-            request.notifyFinish().addErrback(lambda _: gone.append(True))
-            reactor.callLater(delay_s, self._answer_late, request, path, body, gone)
+            disconnected: list[bool] = []
+            request.notifyFinish().addErrback(lambda _: disconnected.append(True))
+            reactor.callLater(delay_s, self._respond_late, request, path, body, disconnected)
             return NOT_DONE_YET
-        return self._answer(request, path, body)
-
-    def _answer_late(self, request: Any, path: str, body: dict[str, Any], gone: list[bool]) -> None:
-        answer = self._answer(request, path, body)
-        if answer is not NOT_DONE_YET and not gone:
-            request.write(answer)
+        return self._respond(request, path, body)
+
+    def _respond_late(
+        self, request: Any, path: str, body: dict[str, Any], disconnected: list[bool]
+    ) -> None:
+        response = self._respond(request, path, body)
+        if response is not NOT_DONE_YET and not disconnected:
+            request.write(response)
             request.finish()
 
-    def _answer(self, request: Any, path: str, body: dict[str, Any]) -> Any:
+    def _respond(self, request: Any, path: str, body: dict[str, Any]) -> Any:
         store = self._store
         if path == "/v3/kv/range":
             start = base64.b64decode(body["key"])
@@ -221,7 +222,7 @@
     """Run the stand-in."""
     host, _, port = address.rpartition(":")
     api = _Api()
-    api.tick()
+    api.expire_periodically()
     site = Site(api)
     site.noisy = False
     reactor.listenTCP(int(port), site, interface=host, backlog=1024)
--- a/packages/devtools/src/pearward_devtools/standin_server.py
+++ b/packages/devtools/src/pearward_devtools/standin_server.py
@@ -1,9 +1,9 @@
-"""A stand-in for a caller's server that owns keys: it accepts fenced grants and keeps a log.
+"""A stand-in for a server that owns keys; it accepts fenced grants and records its runs.
 
-Paths: ``/health``; ``PUT /.pearward/grants``; anything else is work. Work takes the query
-fields ``work_ms`` (time before the answer), ``bytes`` (length of a streamed answer),
-``rate`` (bytes a second of it) and ``cut`` (break off after that many bytes).
-``GET /standin/runs`` returns every run: request id, key, epoch, shard, time.
+``GET /health`` is the health check, ``PUT /.pearward/grants`` sets the granted shards, and
+``GET /standin/runs`` returns every run with request id, key, epoch, shard and time. Other paths are
+work, with the query fields ``work_ms`` (time before the response), ``bytes`` (length of a streamed
+response), ``rate`` (its bytes per second) and ``cut`` (abort after that many bytes).
 """
 
 import hashlib
@@ -26,13 +26,13 @@
 
 
 def body_pattern(request_id: bytes) -> bytes:
-    """Return the block of a streamed answer's body that belongs to one request alone."""
+    """Return the block that a streamed response's body repeats, unique to the request id."""
     block = hashlib.sha256(request_id).hexdigest().encode()
     return block * (CHUNK // len(block))
 
 
 class ServerState:
-    """Grants and the log of runs."""
+    """The granted shards and the recorded runs."""
 
     def __init__(self, fenced: bool) -> None:
         self.fenced = fenced
@@ -43,7 +43,7 @@
         self.frozen_health = False
 
     def grant(self, grant: dict[str, Any]) -> bool:
-        """Take a full set of shards, unless it is older than one taken before."""
+        """Replace the granted shards; return False if a newer grant was already accepted."""
         if grant["version"] < self.version:
             return False
         self.version = grant["version"]
@@ -52,8 +52,8 @@
             self.highest[start] = max(epoch, self.highest.get(start, 0))
         return True
 
-    def refuses(self, shard: bytes | None, epoch: bytes | None, before_ms: bytes | None) -> str:
-        """Return why a request may not run, or nothing."""
+    def refusal(self, shard: bytes | None, epoch: bytes | None, before_ms: bytes | None) -> str:
+        """Return the reason to refuse a request, or an empty string."""
         if not self.fenced:
             return ""
         if before_ms is not None and time.time() * 1000 > int(before_ms):
@@ -61,17 +61,17 @@
         if shard is None or epoch is None:
             return ""
         granted = self.epochs.get(shard.decode())
-        return "" if granted == int(epoch) else f"granted epoch {granted}, asked {int(epoch)}"
+        return "" if granted == int(epoch) else f"granted epoch {granted}, requested {int(epoch)}"
 
 
 @implementer(IPushProducer)
 class WorkRequest(http.Request):  # type: ignore[misc]
-    """One request at the server."""
+    """One request to the server."""
 
     state: ServerState
-    _left = 0
+    _remaining = 0
     _paused = False
-    _gone = False
+    _stopped = False
 
     def process(self) -> None:
         path, _, query = self.uri.partition(b"?")
@@ -87,47 +87,47 @@
         else:
             self._work(parse_qs(query.decode()))
 
-    def _value(self, name: bytes) -> bytes | None:
+    def _header(self, name: bytes) -> bytes | None:
         values = self.requestHeaders.getRawHeaders(name)
         return values[0] if values else None
 
     def _work(self, query: dict[str, list[str]]) -> None:
-        refused = self.state.refuses(
-            self._value(HeaderName.SHARD),
-            self._value(HeaderName.EPOCH),
-            self._value(HeaderName.START_BEFORE_MS),
+        refused = self.state.refusal(
+            self._header(HeaderName.SHARD),
+            self._header(HeaderName.EPOCH),
+            self._header(HeaderName.START_BEFORE_MS),
         )
         if refused:
             self.responseHeaders.addRawHeader(HeaderName.OUTCOME, b"not-run")
             self._reply(412, refused.encode())
             return
-        request_id = self._value(HeaderName.REQUEST_ID) or b""
-        key = self._value(HeaderName.KEY) or b""
+        request_id = self._header(HeaderName.REQUEST_ID) or b""
+        key = self._header(HeaderName.KEY) or b""
         received = self.content.read()
         run = {
             "id": request_id.decode("latin-1"),
             "key": key.decode("latin-1"),
-            "epoch": int(self._value(HeaderName.EPOCH) or 0),
-            "shard": (self._value(HeaderName.SHARD) or b"").decode(),
+            "epoch": int(self._header(HeaderName.EPOCH) or 0),
+            "shard": (self._header(HeaderName.SHARD) or b"").decode(),
             "body": hashlib.sha256(received).hexdigest() if received else "",
             "at": time.time(),
         }
         self.state.runs.append(run)
         work_s = float(query.get("work_ms", ["0"])[0]) / 1000
         if work_s:
-            reactor.callLater(work_s, self._answer, query, request_id, run)
+            reactor.callLater(work_s, self._respond, query, request_id, run)
         else:
-            self._answer(query, request_id, run)
+            self._respond(query, request_id, run)
 
-    def _answer(self, query: dict[str, list[str]], request_id: bytes, run: Any) -> None:
-        if self._gone:
+    def _respond(self, query: dict[str, list[str]], request_id: bytes, run: Any) -> None:
+        if self._stopped:
             return
         size = int(query.get("bytes", ["0"])[0])
         if not size:
             body = json.dumps({"id": run["id"], "key": run["key"], "body": run["body"]})
             self._reply(200, body.encode())
             return
-        self._left = size
+        self._remaining = size
         self._cut = int(query.get("cut", ["0"])[0])
         self._sent = 0
         self._rate = float(query.get("rate", ["0"])[0])
@@ -137,22 +137,22 @@
         self._produce()
 
     def _produce(self) -> None:
-        while self._left and not self._paused and not self._gone:
-            chunk = self._pattern[: min(CHUNK, self._left)]
+        while self._remaining and not self._paused and not self._stopped:
+            chunk = self._pattern[: min(CHUNK, self._remaining)]
             if self._rate:
                 chunk = chunk[: max(1, int(self._rate / 20))]
             offset = self._sent % len(self._pattern)
             chunk = (self._pattern[offset:] + self._pattern[:offset])[: len(chunk)]
             self.write(chunk)
-            self._left -= len(chunk)
+            self._remaining -= len(chunk)
             self._sent += len(chunk)
             if self._cut and self._sent >= self._cut:
                 self.channel.transport.abortConnection()
                 return
-            if self._rate and self._left:
+            if self._rate and self._remaining:
                 reactor.callLater(0.05, self._produce)
                 return
-        if not self._left and not self._gone:
+        if not self._remaining and not self._stopped:
             self.unregisterProducer()
             self.finish()
 
@@ -163,7 +163,7 @@
         self.finish()
 
     def connectionLost(self, reason: Any) -> None:
-        self._gone = True
+        self._stopped = True
         super().connectionLost(reason)
 
     def pauseProducing(self) -> None:
@@ -176,7 +176,7 @@
                 self._produce()
 
     def stopProducing(self) -> None:
-        self._gone = True
+        self._stopped = True
 
 
 class _Factory(http.HTTPFactory):  # type: ignore[misc]
