--- a/packages/devtools/src/pearward_devtools/__init__.py
+++ b/packages/devtools/src/pearward_devtools/__init__.py
@@ -1,1 +1,1 @@
-"""Development tooling: stand-ins, fault proxy, launcher and bench. It is not shipped."""
+"""Development tooling: stand-ins, fault proxy, launcher and bench; not shipped."""
--- a/packages/devtools/src/pearward_devtools/caller.py
+++ b/packages/devtools/src/pearward_devtools/caller.py
@@ -1,4 +1,4 @@
-"""A blocking caller for tests and demonstrations; it checks every answer it gets."""
+"""A blocking caller for tests and demonstrations that checks its responses."""
 
 import hashlib
 import http.client
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True)
 class Answer:
-    """What a caller got."""
+    """A response as its caller received it."""
 
     status: int
     outcome: str
@@ -25,20 +25,20 @@
     headers: dict[str, str] = field(repr=False)
     body: bytes = field(repr=False)
     whole: bool = True
-    """False where the answer broke off."""
+    """False if the response was truncated."""
     own: bool = True
-    """False where the body is not the one of this request."""
+    """False if the body belongs to another request."""
 
 
 class Caller:
-    """Sends requests to daemons, one connection each."""
+    """Send requests to daemons, each on a new connection."""
 
     def __init__(self, timeout_s: float = 30.0) -> None:
         self._timeout_s = timeout_s
 
     @staticmethod
     def new_id() -> str:
-        """Return a fresh request id."""
+        """Return a new request id."""
         return f"{os.getpid():x}-{next(_numbers):x}"
 
     def call(
@@ -54,7 +54,7 @@
         headers: dict[str, str] | None = None,
         expect_bytes: int = 0,
     ) -> Answer:
-        """Make one request and check its answer; raises OSError where no answer came at all."""
+        """Send a request and check its response; raises OSError if there is no response."""
         request_id = request_id or self.new_id()
         sent = {"Pearward-Service": service, "Pearward-Request-Id": request_id}
         if key:
@@ -68,14 +68,14 @@
                 content, whole = response.read(), True
             except (http.client.IncompleteRead, ConnectionError) as error:
                 content, whole = getattr(error, "partial", b""), False
-            got = {name.lower(): value for name, value in response.getheaders()}
-            outcome = got.get("pearward-outcome", "")
+            received = {name.lower(): value for name, value in response.getheaders()}
+            outcome = received.get("pearward-outcome", "")
             own = True
             if outcome == "served" and whole and response.status == 200:
                 own = self._is_own(content, request_id, body, expect_bytes)
             return Answer(
-                response.status, outcome, got.get("pearward-reason", ""), request_id,
-                got, content, whole, own,
+                response.status, outcome, received.get("pearward-reason", ""), request_id,
+                received, content, whole, own,
             )  # fmt: skip
         except http.client.HTTPException as error:
             raise OSError(f"{address}: {error!r}") from error
@@ -83,11 +83,11 @@
             connection.close()
 
     def _is_own(self, content: bytes, request_id: str, body: bytes | None, size: int) -> bool:
-        """Return whether an answer is whole and belongs to the request."""
+        """Return whether a body is complete and belongs to the request."""
         if size:
             pattern = body_pattern(request_id.encode())
-            wanted = (pattern * (size // CHUNK + 1))[:size]
-            return content == wanted
-        answer = json.loads(content)
+            expected = (pattern * (size // CHUNK + 1))[:size]
+            return content == expected
+        reply = json.loads(content)
         digest = hashlib.sha256(body).hexdigest() if body else ""
-        return bool(answer["id"] == request_id and answer["body"] == digest)
+        return bool(reply["id"] == request_id and reply["body"] == digest)
--- a/packages/devtools/src/pearward_devtools/capacity.py
+++ b/packages/devtools/src/pearward_devtools/capacity.py
@@ -1,6 +1,6 @@
-"""``make capacity``: run the bench and rewrite the tables of the page on cells from its figures.
+"""``make capacity``: run the bench and update the tables of the capacity page from its figures.
 
-``--figures FILE`` takes the figures of an earlier run instead of measuring again.
+``--figures FILE`` uses the figures of an earlier run instead of running the bench.
 """
 
 import json
@@ -18,27 +18,27 @@
 FIGURES = Path("docs/figures.jsonl")
 BEGIN, END = "<!-- figures: begin -->", "<!-- figures: end -->"
 GROUPS = ("path", "slopes", "spread", "faults")
-SECONDS_A_DAY = 86_400
+SECONDS_PER_DAY = 86_400
 SHARDS_PER_SERVER = 64
 SHARD_BYTES = 18
 MEMBER_BYTES = 900
-"""A member's dataclass with its strings, by sys.getsizeof over one of a cell of 128."""
+"""Size of a member object with its strings, by sys.getsizeof for one member of a cell of 128."""
 TABLE_BYTES_PER_SERVER = 105
 TABLE_BYTES_FIXED = 9_000
-"""A service's row and fifty changes of history."""
+"""Size of a service's row and a history of fifty changes."""
 
 
 @dataclass(frozen=True)
 class Size:
-    """A fleet."""
+    """The size and daily changes of a fleet."""
 
     name: str
     daemons: int
     cells: int
     requests: float
-    changes_a_day: float
-    failures_a_day: float
-    replaced_a_day: float
+    changes_per_day: float
+    failures_per_day: float
+    replaced_per_day: float
 
 
 SIZES = (
@@ -49,14 +49,14 @@
 
 
 class Figures:
-    """Measured values by name."""
+    """Measured figures by name."""
 
     def __init__(self, rows: list[dict[str, float]]) -> None:
         self._values = {str(row["name"]): float(row["value"]) for row in rows}
 
     @classmethod
     def from_lines(cls, text: str) -> "Figures":
-        """Read the bench's output."""
+        """Parse the bench's output."""
         return cls([json.loads(line) for line in text.splitlines() if line.startswith("{")])
 
     def __getitem__(self, name: str) -> float:
@@ -74,7 +74,7 @@
 
 
 def _row_name(size: Size) -> str:
-    """Return the measured cell that is nearest to a size's cells, from above where there is one."""
+    """Return the smallest measured cell with at least a size's servers, or the largest one."""
     servers = _cell_servers(size)
     return next((f"{n}x64" for n in (4, 16, 64, 128) if n >= servers), "128x64")
 
@@ -88,13 +88,13 @@
 
 
 def _version_bytes(f: Figures, s: Size) -> float:
-    """Return bytes a second that a daemon receives of new tables and records."""
+    """Return the bytes per second of new tables and records that a daemon receives."""
     table = TABLE_BYTES_FIXED + TABLE_BYTES_PER_SERVER * _cell_servers(s)
     record = f[f"record_bytes_{_row_name(s)}"]
     writes = f[f"loss_record_writes_{_row_name(s)}"]
-    records_a_day = (s.failures_a_day + s.replaced_a_day) * writes
+    records_per_day = (s.failures_per_day + s.replaced_per_day) * writes
     values = f["spread_values_per_daemon_14000"]
-    return (s.changes_a_day * table + records_a_day * record) * values / SECONDS_A_DAY
+    return (s.changes_per_day * table + records_per_day * record) * values / SECONDS_PER_DAY
 
 
 def _routes_mb(f: Figures, s: Size) -> float:
@@ -131,9 +131,9 @@
      lambda f, s: f["platform_calls_idle"] / 60 * s.cells),
     ("waiting watches", "", lambda f, s: 2.0 * s.cells),
     ("writes a second for failures and replacements", "1/s",
-     lambda f, s: (s.failures_a_day + s.replaced_a_day)
-     * f[f"loss_record_writes_{_row_name(s)}"] / SECONDS_A_DAY),
-    ("writes a second for the table", "1/s", lambda f, s: s.changes_a_day / SECONDS_A_DAY),
+     lambda f, s: (s.failures_per_day + s.replaced_per_day)
+     * f[f"loss_record_writes_{_row_name(s)}"] / SECONDS_PER_DAY),
+    ("writes a second for the table", "1/s", lambda f, s: s.changes_per_day / SECONDS_PER_DAY),
     ("**a configuration change**", "", lambda f, s: 0.0),
     ("message delays until all have it, 14,000 daemons", "",
      lambda f, s: f["spread_rounds_all_14000"]),
@@ -144,7 +144,7 @@
 
 
 def _tables(figures: Figures) -> str:
-    """Return the page's tables."""
+    """Return the page's table in Markdown."""
     head = "| | unit | " + " | ".join(size.name for size in SIZES) + " |"
     lines = [head, "|---" * (2 + len(SIZES)) + "|"]
     for name, unit, formula in ROWS:
@@ -157,7 +157,7 @@
 
 
 def _measure() -> str:
-    """Run the bench."""
+    """Run the bench and return its output."""
     output = ""
     for group in GROUPS:
         command = [sys.executable, "-m", "pearward_devtools.bench", "--only", group]
@@ -166,7 +166,9 @@
 
 
 @click.command()
-@click.option("--figures", type=click.Path(exists=True, path_type=Path), help="An earlier run's.")
+@click.option(
+    "--figures", type=click.Path(exists=True, path_type=Path), help="Figures of an earlier run."
+)
 def main(figures: Path | None) -> None:
     """Rewrite the capacity page's tables."""
     text = figures.read_text(encoding="utf-8") if figures else _measure()
--- a/packages/devtools/src/pearward_devtools/check.py
+++ b/packages/devtools/src/pearward_devtools/check.py
@@ -1,4 +1,4 @@
-"""``make test``: formatter, linters, types, layers, then behave; counts come from behave."""
+"""``make test``: check format, lint, types and layers, then run behave and report its counts."""
 
 import json
 import subprocess
@@ -22,12 +22,12 @@
     [str(BIN / "lint-imports"), "--no-cache"],
 ]  # fmt: skip
 KNOWN_RED = Path("KNOWN-RED.txt")
-SAID = 6
-"""Lines of a failed step's message that are printed again after the counts."""
+MESSAGE_LINES = 6
+"""Number of last lines of a failed step's message that are printed."""
 
 
 def _lint() -> int:
-    """Run every check of the sources; return how many failed."""
+    """Run all checks of the sources; return the number of failed ones."""
     failed = 0
     for command in LINTS:
         result = subprocess.run(command, capture_output=True, text=True, check=False)
@@ -40,7 +40,7 @@
 
 
 def _known_red() -> dict[str, str]:
-    """Return the scenarios that are listed as failing for a real fault, with the listed line."""
+    """Return the scenarios that are listed as known failures, each with its line in the list."""
     if not KNOWN_RED.exists():
         return {}
     lines = [line for line in KNOWN_RED.read_text(encoding="utf-8").splitlines() if line.strip()]
@@ -48,7 +48,7 @@
 
 
 def _behave(arguments: list[str]) -> tuple[int, int, int]:
-    """Run behave; return how many scenarios passed, failed and failed as known."""
+    """Run behave; return the numbers of passed, failed and known failing scenarios."""
     with tempfile.TemporaryDirectory() as folder:
         report = Path(folder) / "report.json"
         command = [
@@ -58,35 +58,38 @@
         subprocess.run(command, check=False)
         features = json.loads(report.read_text(encoding="utf-8") or "[]")
     known = _known_red()
-    passed = failed = red = 0
+    passed = failed = known_failures = 0
     for feature in features:
         for element in feature.get("elements", []):
             if element["type"] != "scenario" or element["status"] in ("skipped", "untested"):
                 continue
-            # The name of an outline's example ends in a blank.
+            # behave ends the name of an outline's example with a blank.
             name = element["name"].strip()
             if element["status"] == "passed":
                 passed += 1
             elif name in known:
-                red += 1
+                known_failures += 1
                 click.echo(f"known red: {known[name]}")
             else:
                 failed += 1
                 click.echo(f"failed: {feature['name']}: {name}")
-                click.echo(_why(element))
-    return passed, failed, red
+                click.echo(_failure_text(element))
+    return passed, failed, known_failures
 
 
-def _why(element: dict[str, Any]) -> str:
-    """Return what the failed steps of a scenario said, where only the report's end is kept."""
+def _failure_text(element: dict[str, Any]) -> str:
+    """Return the failed steps of a scenario with the last lines of their error messages.
+
+    For output of which only the end is kept.
+    """
     lines: list[str] = []
     for step in element.get("steps", []):
         message = step.get("result", {}).get("error_message", ())
-        said = [message] if isinstance(message, str) else list(message)
-        if said:
+        message_lines = [message] if isinstance(message, str) else list(message)
+        if message_lines:
             lines += [
                 f"  {step['keyword']} {step['name']}",
-                *(f"    {row}" for row in said[-SAID:]),
+                *(f"    {row}" for row in message_lines[-MESSAGE_LINES:]),
             ]
     return "\n".join(lines)
 
@@ -96,11 +99,11 @@
 @click.argument("arguments", nargs=-1)
 def main(lint_only: bool, arguments: tuple[str, ...]) -> None:
     """Check the sources and run the tests."""
-    broken = _lint()
+    failed_lints = _lint()
     passed = failed = 0
     if not lint_only:
         passed, failed, _ = _behave(list(arguments) or ["--tags=not long", "features"])
-    failed += broken
+    failed += failed_lints
     click.echo(f"{passed} passed, {failed} failed")
     sys.exit(1 if failed or (not passed and not lint_only) else 0)
 
--- a/packages/devtools/src/pearward_devtools/cluster.py
+++ b/packages/devtools/src/pearward_devtools/cluster.py
@@ -39,7 +39,7 @@
 WAIT_S = float(os.environ.get("WAIT_S", "30"))
 
 
-def wait_until(condition: Callable[[], object], what: str, timeout_s: float = WAIT_S) -> Any:
+def wait_until(condition: Callable[[], object], description: str, timeout_s: float = WAIT_S) -> Any:
     """Wait for *condition* to be true and return its value; raises TimeoutError."""
     deadline = time.monotonic() + timeout_s
     while True:
@@ -47,7 +47,7 @@
         if value:
             return value
         if time.monotonic() > deadline:
-            raise TimeoutError(f"waited {timeout_s} s for {what}")
+            raise TimeoutError(f"waited {timeout_s} s for {description}")
         time.sleep(0.02)
 
 
@@ -154,7 +154,7 @@
         for service in self._services:
             self.put_table(service.name, self._rows(service))
         for node in self.nodes:
-            self.list_instance(node)
+            self.register_instance(node)
         if self._proxied:
             self._start_proxy()
         for node in self.nodes:
@@ -332,7 +332,7 @@
         table = before.changed(rows, change, f"tooling:{before.version + 1}")
         self._compare_and_swap(f"table/{service}", revision, table.to_bytes())
 
-    def list_instance(self, node: Node, state: str = "live") -> None:
+    def register_instance(self, node: Node, state: str = "live") -> None:
         """Add an instance to the platform's list."""
         value = {
             "address": node.advertised_ip,
@@ -347,7 +347,7 @@
         pairs = self._get(key)
         self._compare_and_swap(key, pairs[0].revision if pairs else 0, json.dumps(value).encode())
 
-    def unlist_instance(self, node: Node) -> None:
+    def deregister_instance(self, node: Node) -> None:
         """Remove an instance from the platform's list."""
         pairs = self._get(f"instances/{node.name}")
         if pairs:
--- a/packages/devtools/src/pearward_devtools/launcher.py
+++ b/packages/devtools/src/pearward_devtools/launcher.py
@@ -1,4 +1,4 @@
-"""``make run``: the six services at reduced size, mixed traffic, one planned stop, the promises."""
+"""``make run``: run six small services under mixed traffic, stop one daemon, check guarantees."""
 
 import subprocess
 import sys
@@ -32,17 +32,17 @@
 FLOWS = [
     Flow("roster-app", 4, keys=500),
     Flow("timesheet-core", 2, method="POST", body_bytes=4000, request_class="submit"),
-    Flow("export-hub", 1, answer_bytes=4_000_000, path="/e?rate=2000000", request_class="export"),
+    Flow("export-hub", 1, response_bytes=4_000_000, path="/e?rate=2000000", request_class="export"),
     Flow("premview", 4, keys=500),
     Flow("paypost", 2, method="POST", body_bytes=300, request_class="submit"),
-    Flow("stmtvault", 1, answer_bytes=2_000_000, request_class="export"),
+    Flow("stmtvault", 1, response_bytes=2_000_000, request_class="export"),
 ]
 BEFORE_S, AFTER_S = 3.0, 3.0
 
 
-def _status_of_change(cluster: Cluster) -> Verdict:
-    """Change a row with the operators' command and wait for every daemon."""
-    began = time.monotonic()
+def _check_configuration_change(cluster: Cluster) -> Verdict:
+    """Change a table row with the operators' command and check that every daemon has it."""
+    started_at = time.monotonic()
     result = subprocess.run(
         [
             sys.executable, "-m", "pearward_cli.main", "--platform", cluster.platform_address,
@@ -52,7 +52,7 @@
         text=True,
         check=False,
     )  # fmt: skip
-    took_s = time.monotonic() - began
+    duration_s = time.monotonic() - started_at
     versions = [
         status["versions"].get("table/premview", 0)
         for node in cluster.nodes
@@ -61,7 +61,7 @@
     return Verdict(
         "an accepted change is in force everywhere within seconds",
         result.returncode == 0 and min(versions) >= 2,
-        f"{len(versions)} daemons, command took {took_s:.1f} s {result.stderr.strip()}",
+        f"{len(versions)} daemons, command took {duration_s:.1f} s {result.stderr.strip()}",
     )
 
 
@@ -70,34 +70,34 @@
     return record.version if record is not None else 0
 
 
-def _assignments_kept(cluster: Cluster, versions: dict[str, int]) -> Verdict:
-    """Every shard still has an owner, and no record went back."""
-    lost = back = shards = 0
+def _check_assignments_kept(cluster: Cluster, versions: dict[str, int]) -> Verdict:
+    """Check that every shard has an owner and that no record has an older version than before."""
+    unowned = rolled_back = shards = 0
     for service, version in versions.items():
         placements = cluster.placements(service)
-        back += _record_version(cluster, service) < version
+        rolled_back += _record_version(cluster, service) < version
         shards += len(placements)
-        lost += sum(not server for server in placements.values())
+        unowned += sum(not server for server in placements.values())
     return Verdict(
         "an acknowledged assignment survives",
-        not lost and not back,
-        f"{shards} shards, {lost} without owner, {back} records went back",
+        not unowned and not rolled_back,
+        f"{shards} shards, {unowned} without owner, {rolled_back} records went back",
     )
 
 
 def _planned_stop(cluster: Cluster, node: Node) -> tuple[float, float, int]:
-    """Stop a daemon as planned and start it again; return when, until when and its exit code."""
-    began = time.time()
+    """Stop and restart a daemon; return the stop's start and end times and the exit code."""
+    started_at = time.time()
     process = cluster.terminate_daemon(node)
     code = process.wait(timeout=60)
     ended = time.time()
     cluster.start_daemon(node)
     wait_until(cluster.ready, "the restarted daemon")
-    return began, ended, code
+    return started_at, ended, code
 
 
 def run_demo(cluster: Cluster) -> list[Verdict]:
-    """Send traffic around one planned stop and check the promises."""
+    """Send traffic before, during and after a planned stop, and check the guarantees."""
     stopping = cluster.of("roster-app")[0]
     leaving: list[str] = []
 
@@ -108,10 +108,10 @@
     traffic = Traffic(FLOWS, addresses)
     traffic.start()
     time.sleep(BEFORE_S)
-    change = _status_of_change(cluster)
-    # Callers learn from readyz that a daemon is leaving; requests under way go on.
+    change = _check_configuration_change(cluster)
+    # Callers avoid a stopping daemon since its readyz fails; their running requests continue.
     leaving.append(stopping.caller)
-    began, ended, code = _planned_stop(cluster, stopping)
+    started_at, ended, code = _planned_stop(cluster, stopping)
     leaving.clear()
     time.sleep(AFTER_S)
     sent = traffic.stop()
@@ -129,18 +129,18 @@
     stop = no_request_cut(sent, "a planned stop")
     return [
         owners,
-        _assignments_kept(cluster, versions),
+        _check_assignments_kept(cluster, versions),
         whole_answers(sent),
         not_run_is_true(sent, runs),
         at_most_once(sent, runs),
-        no_new_work(runs, stopping.server, began, ended),
+        no_new_work(runs, stopping.server, started_at, ended),
         Verdict(stop.promise, stop.held and code == 0, f"{stop.counts}, daemon exit {code}"),
         change,
     ]
 
 
 def _show_addresses(cluster: Cluster) -> None:
-    """Print what to try."""
+    """Print the addresses and example commands."""
     first = cluster.of("roster-app")[0]
     click.echo(f"\nplatform {cluster.platform_address}, files in {cluster.directory}")
     for node in cluster.nodes:
@@ -154,14 +154,14 @@
         f"  .venv/bin/pearward {platform} route roster-app crew-7\n"
         f"  .venv/bin/pearward {platform} drain roster-app/roster-app-0 --wait\n"
         f"  curl -s http://{first.admin}/metrics\n"
-        "Ctrl-C ends everything."
+        "Ctrl-C ends all processes."
     )
 
 
 @click.command()
-@click.option("--keep", is_flag=True, help="Leave everything running afterwards.")
+@click.option("--keep", is_flag=True, help="Keep all processes running afterwards.")
 def main(keep: bool) -> None:
-    """Run the demonstration; exits non-zero if a promise broke."""
+    """Run the demonstration; exits non-zero if a guarantee is violated."""
     with Cluster(SERVICES, DOMAINS) as cluster:
         click.echo(f"starting {sum(s.servers for s in SERVICES)} daemons and as many servers")
         cluster.start()
--- a/packages/devtools/src/pearward_devtools/loadgen.py
+++ b/packages/devtools/src/pearward_devtools/loadgen.py
@@ -1,4 +1,4 @@
-"""A load generator: one process, many kept connections, a bounded time; prints one JSON line."""
+"""A load generator in one process with persistent connections; prints its result as JSON."""
 
 import json
 import time
@@ -16,8 +16,8 @@
 __all__ = ["main"]
 
 
-class Load:
-    """Workers that make requests one after another, or at given times."""
+class LoadGenerator:
+    """Workers that send requests back to back, or at a given rate."""
 
     def __init__(
         self,
@@ -46,13 +46,13 @@
         self.bytes = 0
 
     async def run(self) -> float:
-        """Run all workers and return the seconds that it took."""
-        began = time.perf_counter()
-        end = began + self._seconds
+        """Run all workers and return the elapsed seconds."""
+        started_at = time.perf_counter()
+        end = started_at + self._seconds
         await gatherResults(
             [ensureDeferred(self._work(number, end)) for number in range(self._workers)]
         )
-        return time.perf_counter() - began
+        return time.perf_counter() - started_at
 
     async def _work(self, number: int, end: float) -> None:
         client = self._clients[number % len(self._clients)]
@@ -64,35 +64,35 @@
             if self._interval:
                 if due > now:
                     await sleep(reactor, due - now)
-                began, due = due, due + self._interval
+                started_at, due = due, due + self._interval
             else:
-                began = now
-            if await self._one(client):
-                self.latencies.append(time.perf_counter() - began)
+                started_at = now
+            if await self._send_request(client):
+                self.latencies.append(time.perf_counter() - started_at)
             else:
                 self.errors += 1
 
-    async def _one(self, client: ServerClient) -> bool:
+    async def _send_request(self, client: ServerClient) -> bool:
         try:
             connection = client.take() or await client.connect()
         except TransportError:
             return False
         headers = self._headers[self._rng.randrange(len(self._headers))]
-        exchange = _Exchange(self)
-        connection.send(b"GET", self._path, headers, b"", exchange)
-        return await exchange.done
+        sink = _CountingSink(self)
+        connection.send(b"GET", self._path, headers, b"", sink)
+        return await sink.done
 
 
-class _Exchange:
-    """One answer, counted and thrown away."""
+class _CountingSink:
+    """A sink that counts one response and discards its body."""
 
-    def __init__(self, load: Load) -> None:
+    def __init__(self, load: LoadGenerator) -> None:
         self._load = load
         self._status = 0
         self.done: Deferred[bool] = Deferred()
 
     def accepts(self, headers: bytes) -> bool:
-        """One request at a time is under way on a connection."""
+        """Accept every response, since a connection has one request at a time."""
         return True
 
     def answer_head(self, status: int, headers: bytes, length: int) -> None:
@@ -108,14 +108,14 @@
         self.done.callback(False)
 
     def body_paused(self) -> None:
-        """There is no body."""
+        """Do nothing, since requests have no body."""
 
     def body_resumed(self) -> None:
-        """There is no body."""
+        """Do nothing, since requests have no body."""
 
 
-def _percentile(values: list[float], share: float) -> float:
-    return values[min(len(values) - 1, int(len(values) * share))] if values else 0.0
+def _percentile(values: list[float], quantile: float) -> float:
+    return values[min(len(values) - 1, int(len(values) * quantile))] if values else 0.0
 
 
 @click.command()
@@ -125,7 +125,7 @@
 @click.option("--path", default="/standin/plain")
 @click.option("--workers", default=16)
 @click.option("--seconds", default=3.0)
-@click.option("--rate", default=0.0, help="Requests a second; 0 is as fast as possible.")
+@click.option("--rate", default=0.0, help="Requests per second; 0 for no limit.")
 def main(
     targets: tuple[str, ...],
     headers: tuple[str, ...],
@@ -135,17 +135,19 @@
     seconds: float,
     rate: float,
 ) -> None:
-    """Make requests for a while."""
+    """Send requests for some seconds and print the result."""
     pairs = dict(header.split("=", 1) for header in headers)
-    load = Load(list(targets), pairs, list(keys), path, workers=workers, seconds=seconds, rate=rate)
+    load = LoadGenerator(
+        list(targets), pairs, list(keys), path, workers=workers, seconds=seconds, rate=rate
+    )
 
-    def finish(took: Any) -> None:
+    def finish(elapsed: Any) -> None:
         values = sorted(load.latencies)
         result = {
             "count": len(values),
             "errors": load.errors,
             "bytes": load.bytes,
-            "seconds": took if isinstance(took, float) else -1,
+            "seconds": elapsed if isinstance(elapsed, float) else -1,
             "p50_ms": _percentile(values, 0.5) * 1000,
             "p99_ms": _percentile(values, 0.99) * 1000,
         }
--- a/packages/devtools/src/pearward_devtools/losses.py
+++ b/packages/devtools/src/pearward_devtools/losses.py
@@ -1,8 +1,8 @@
-"""Where requests were lost, by the daemons' own lines of one played day.
+"""Summarise unserved requests from the daemons' logs of one simulated day.
 
-``python -m pearward_devtools.losses LOG`` reads lines of ``seconds instance {json}`` and prints
-how requests that were not answered ended: by route, status and reason, how long they were
-held, and whether any target had received them.
+``python -m pearward_devtools.losses LOG`` reads lines of ``seconds instance {json}`` and prints how
+unserved requests ended, by route, status and reason, with the time for which they were held and
+whether a target received them.
 """
 
 import re
@@ -20,13 +20,13 @@
 __all__ = ["Ending", "endings", "main"]
 
 LINE = re.compile(r"^\s*(-?\d+\.\d+)\s+(\S+)\s+(\{.*\})$")
-ENDS = frozenset({"given_up", "broken_off", "caller_left"})
-SHOWN = 25
+END_EVENTS = frozenset({"given_up", "broken_off", "caller_left"})
+MAX_ROWS = 25
 
 
 @dataclass
 class Ending:
-    """One request that was not answered."""
+    """One unserved request."""
 
     at: float
     how: str
@@ -36,13 +36,13 @@
     held_ms: int
     attempts: int
     sent: bool
-    """Whether a target had received it."""
+    """Whether a target received the request."""
     refusals: list[str] = field(default_factory=list)
-    """Why daemons beside targets did not serve it."""
+    """Reason and time of each refusal by a target's local daemon."""
 
 
 def lines(path: Path) -> Iterator[tuple[float, str, str, dict[str, Any]]]:
-    """Yield time, instance, message type and fields of each line that is one of a daemon."""
+    """Yield time, instance, message type and fields of each line that a daemon logged."""
     with path.open(encoding="utf-8", errors="replace") as text:
         for line in text:
             found = LINE.match(line)
@@ -57,7 +57,7 @@
 
 
 def endings(rows: Iterable[tuple[float, str, str, dict[str, Any]]]) -> list[Ending]:
-    """Return the requests that were not answered, with what is known of their way."""
+    """Return the unserved requests, with their refusals and whether they were sent."""
     sent: set[str] = set()
     refused: defaultdict[str, list[str]] = defaultdict(list)
     found: list[Ending] = []
@@ -67,7 +67,7 @@
             sent.add(request)
         elif kind == "not_served_here":
             refused[request].append(f"{fields['reason']} {fields['ms']}")
-        elif kind in ENDS:
+        elif kind in END_EVENTS:
             found.append(
                 Ending(
                     at,
@@ -86,10 +86,10 @@
 
 def _print_table(found: list[Ending]) -> None:
     groups: defaultdict[tuple[str, str, int, str, bool], list[Ending]] = defaultdict(list)
-    for each in found:
-        groups[each.route, each.how, each.status, each.reason, each.sent].append(each)
+    for ending in found:
+        groups[ending.route, ending.how, ending.status, ending.reason, ending.sent].append(ending)
     click.echo(f"{'route':<14} {'end':<12} status {'reason':<16} sent   count  median ms  most ms")
-    for key, rows in sorted(groups.items(), key=lambda item: -len(item[1]))[:SHOWN]:
+    for key, rows in sorted(groups.items(), key=lambda item: -len(item[1]))[:MAX_ROWS]:
         route, how, status, reason, sent = key
         held = [row.held_ms for row in rows]
         click.echo(
@@ -99,24 +99,31 @@
 
 
 def _print_unsent(found: list[Ending]) -> None:
-    """Print what became of those that no target received and that were held for long."""
-    unsent = [each for each in found if not each.sent and each.how == "given_up"]
-    ways = Counter(
-        (each.status, each.reason, each.attempts, tuple(r.split()[0] for r in each.refusals))
-        for each in unsent
+    """Print the status, reason and refusals of given-up requests that no target received."""
+    unsent = [ending for ending in found if not ending.sent and ending.how == "given_up"]
+    endings_by_path = Counter(
+        (
+            ending.status,
+            ending.reason,
+            ending.attempts,
+            tuple(r.split()[0] for r in ending.refusals),
+        )
+        for ending in unsent
     )
     click.echo("\nnot sent: status, reason, attempts, refusals on the way")
-    for way, count in ways.most_common(SHOWN):
-        held = sorted(e.held_ms for e in unsent if (e.status, e.reason, e.attempts) == way[:3])
-        click.echo(f"{count:>6}  {way}  median {held[len(held) // 2]} ms")
+    for path_key, count in endings_by_path.most_common(MAX_ROWS):
+        held = sorted(e.held_ms for e in unsent if (e.status, e.reason, e.attempts) == path_key[:3])
+        click.echo(f"{count:>6}  {path_key}  median {held[len(held) // 2]} ms")
 
 
 @click.command()
 @click.argument("log", type=click.Path(exists=True, path_type=Path))
-@click.option("--after", default=float("-inf"), help="seconds; earlier endings are left out")
+@click.option(
+    "--after", default=float("-inf"), help="Seconds; requests that ended earlier are left out."
+)
 def main(log: Path, after: float) -> None:
-    """Print where requests were lost in a day's LOG."""
-    found = [each for each in endings(lines(log)) if each.at >= after]
+    """Summarise the unserved requests of a day's LOG."""
+    found = [ending for ending in endings(lines(log)) if ending.at >= after]
     _print_table(found)
     _print_unsent(found)
 
--- a/packages/devtools/src/pearward_devtools/memory_store.py
+++ b/packages/devtools/src/pearward_devtools/memory_store.py
@@ -8,7 +8,7 @@
 __all__ = ["MemoryStore"]
 
 
-class _SilentWatch:
+class _EmptyWatch:
     """A watch that never delivers events."""
 
     def __init__(self, store: "MemoryStore") -> None:
@@ -27,10 +27,10 @@
         self._pairs: dict[str, KeyValue] = {}
         self._revision = 0
         self._lease = 0
-        self.away = False
+        self.unavailable = False
         self.reads: list[str] = []
         """Keys and prefixes of all calls, in order."""
-        self.watches: set[_SilentWatch] = set()
+        self.watches: set[_EmptyWatch] = set()
         """Watches that have not been stopped."""
 
     def put(self, key: str, value: bytes) -> None:
@@ -61,8 +61,8 @@
     ) -> None:
         """Replace a value if its revision is the expected one; raises CasConflict."""
         self._check(key)
-        present = self._pairs.get(key)
-        if (present.revision if present is not None else 0) != expected_revision:
+        current = self._pairs.get(key)
+        if (current.revision if current is not None else 0) != expected_revision:
             raise CasConflict(f"{key}: revision is no longer {expected_revision}")
         if value is None:
             self._pairs.pop(key, None)
@@ -91,11 +91,11 @@
         on_lost: Callable[[], None],
         *,
         prefix: bool = False,
-    ) -> _SilentWatch:
+    ) -> _EmptyWatch:
         """Return a watch without events, since the code under test also polls."""
-        return _SilentWatch(self)
+        return _EmptyWatch(self)
 
     def _check(self, key: str) -> None:
-        if self.away:
+        if self.unavailable:
             raise PlatformUnavailable("the store is unavailable")
         self.reads.append(key)
--- a/packages/devtools/src/pearward_devtools/promises.py
+++ b/packages/devtools/src/pearward_devtools/promises.py
@@ -1,6 +1,6 @@
-"""The promises of the brief, checked against what the servers really ran.
+"""Checks of the router's guarantees against the runs that the servers recorded.
 
-Each check returns a line with its counts and whether the promise held.
+Each check returns a verdict with its counts and whether the guarantee held.
 """
 
 import itertools
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True)
 class Verdict:
-    """Whether one promise held."""
+    """Whether one guarantee held, with its counts."""
 
     promise: str
     held: bool
@@ -37,7 +37,7 @@
 
 
 def one_owner(runs: Runs) -> Verdict:
-    """A key has one owning server: epochs grow, and each epoch of a shard has one server."""
+    """Check that a shard's epochs never decrease and that each epoch has one server."""
     servers: dict[tuple[str, int], set[str]] = defaultdict(set)
     by_shard: dict[str, list[tuple[float, int]]] = defaultdict(list)
     for run in runs:
@@ -57,36 +57,38 @@
 
 
 def at_most_once(sent: Iterable[Sent], runs: Runs) -> Verdict:
-    """A request that is not repeatable runs at most once."""
+    """Check that a request that is not repeatable runs at most once."""
     ran = Counter(run["id"] for run in runs)
     ids = [s.request_id for s in sent if s.flow.method == "POST"]
-    doubled = sum(ran[i] > 1 for i in ids)
+    repeated = sum(ran[i] > 1 for i in ids)
     once = sum(ran[i] == 1 for i in ids)
-    counts = f"{len(ids)} sent, {once} ran once, {doubled} ran twice or more"
-    return Verdict("a request that is not repeatable runs at most once", not doubled, counts)
+    counts = f"{len(ids)} sent, {once} ran once, {repeated} ran twice or more"
+    return Verdict("a request that is not repeatable runs at most once", not repeated, counts)
 
 
 def not_run_is_true(sent: Iterable[Sent], runs: Runs) -> Verdict:
-    """What was answered not-run was not run, and what was answered served was."""
+    """Check that requests with the outcome not-run did not run."""
     ran = {run["id"] for run in runs}
     refused = [s for s in sent if s.answer is not None and s.answer.outcome == "not-run"]
-    lies = sum(s.request_id in ran for s in refused)
+    contradicted = sum(s.request_id in ran for s in refused)
     return Verdict(
-        "what is answered not-run was not run", not lies, f"{len(refused)} refused, {lies} ran"
+        "what is answered not-run was not run",
+        not contradicted,
+        f"{len(refused)} refused, {contradicted} ran",
     )
 
 
 def whole_answers(sent: Iterable[Sent]) -> Verdict:
-    """Every answer is whole and the caller's own."""
+    """Check that no complete response belongs to another request."""
     answers = [s.answer for s in sent if s.answer is not None and s.answer.outcome == "served"]
     partial = sum(not a.whole for a in answers)
-    foreign = sum(a.whole and not a.own for a in answers)
-    counts = f"{len(answers)} served, {partial} broken off, {foreign} passed for whole wrongly"
-    return Verdict("an answer is whole and the caller's own", not foreign, counts)
+    mismatched = sum(a.whole and not a.own for a in answers)
+    counts = f"{len(answers)} served, {partial} broken off, {mismatched} passed for whole wrongly"
+    return Verdict("an answer is whole and the caller's own", not mismatched, counts)
 
 
 def no_request_cut(sent: Iterable[Sent], what: str) -> Verdict:
-    """A planned stop fails no request."""
+    """Check that every request succeeded, for example during a planned stop."""
     rows = list(sent)
     failed = [s for s in rows if s.answer is None or s.answer.status != 200 or not s.answer.whole]
     reasons = Counter(s.answer.reason if s.answer else "no answer" for s in failed)
@@ -95,7 +97,7 @@
 
 
 def no_new_work(runs: Runs, server: str, since: float, until: float) -> Verdict:
-    """A leaving target gets no new work after two seconds."""
+    """Check that a leaving target gets no new requests after two seconds."""
     late = sum(run["server"] == server and since + 2.0 < run["at"] < until for run in runs)
     return Verdict(
         "a leaving target gets no new work after 2 s", not late, f"{late} late requests at {server}"
--- a/packages/devtools/src/pearward_devtools/traffic.py
+++ b/packages/devtools/src/pearward_devtools/traffic.py
@@ -1,4 +1,4 @@
-"""Mixed traffic of many blocking callers, with every answer kept for the checks."""
+"""Mixed traffic of many blocking callers; all responses are recorded for the checks."""
 
 import random
 import threading
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True)
 class Flow:
-    """One kind of request that callers make."""
+    """One kind of request and the number of workers that send it."""
 
     service: str
     workers: int
@@ -22,7 +22,7 @@
     method: str = "GET"
     path: str = "/work?work_ms=2"
     body_bytes: int = 0
-    answer_bytes: int = 0
+    response_bytes: int = 0
     request_class: str = "interactive"
     pause_s: float = 0.01
     deadline_ms: int = 20_000
@@ -30,19 +30,19 @@
 
 @dataclass(frozen=True)
 class Sent:
-    """One request with what came of it."""
+    """One request with its response."""
 
     flow: Flow
     key: str
     request_id: str
-    began: float
+    started_at: float
     took_s: float
     answer: Answer | None
-    """None where the connection gave no answer at all."""
+    """The response, or None if the connection failed without one."""
 
 
 class Traffic:
-    """Runs the workers of some flows against some addresses."""
+    """Run the workers of some flows against some addresses."""
 
     def __init__(
         self, flows: list[Flow], addresses: Callable[[], list[str]], seed: int = 1
@@ -65,7 +65,7 @@
                 thread.start()
 
     def stop(self) -> list[Sent]:
-        """Let every worker finish its request, and return all that were made."""
+        """Stop after the workers' current requests; return all requests that were sent."""
         self._stop.set()
         for thread in self._threads:
             thread.join()
@@ -74,23 +74,23 @@
     def _work(self, flow: Flow, rng: random.Random) -> None:
         caller = Caller(flow.deadline_ms / 1000 + 40)
         while not self._stop.is_set():
-            sent = self._one(flow, caller, rng)
+            sent = self._send_request(flow, caller, rng)
             with self._lock:
                 self.sent.append(sent)
             time.sleep(flow.pause_s * rng.random() * 2)
 
-    def _one(self, flow: Flow, caller: Caller, rng: random.Random) -> Sent:
+    def _send_request(self, flow: Flow, caller: Caller, rng: random.Random) -> Sent:
         key = f"key-{rng.randrange(flow.keys)}" if flow.keys else ""
         request_id = caller.new_id()
         body = rng.randbytes(flow.body_bytes) if flow.body_bytes else None
         path = flow.path
-        if flow.answer_bytes:
-            path += ("&" if "?" in path else "?") + f"bytes={flow.answer_bytes}"
-        began = time.time()
+        if flow.response_bytes:
+            path += ("&" if "?" in path else "?") + f"bytes={flow.response_bytes}"
+        started_at = time.time()
         try:
             answer = caller.call(
                 rng.choice(self._addresses()), flow.service, key, method=flow.method, path=path,
-                body=body, request_id=request_id, expect_bytes=flow.answer_bytes,
+                body=body, request_id=request_id, expect_bytes=flow.response_bytes,
                 headers={
                     "Pearward-Class": flow.request_class,
                     "Pearward-Deadline-Ms": str(flow.deadline_ms),
@@ -98,4 +98,4 @@
             )  # fmt: skip
         except OSError:
             answer = None
-        return Sent(flow, key, request_id, began, time.time() - began, answer)
+        return Sent(flow, key, request_id, started_at, time.time() - started_at, answer)
