--- a/packages/devtools/src/pearward_devtools/mesh/soak.py
+++ b/packages/devtools/src/pearward_devtools/mesh/soak.py
@@ -125,7 +125,7 @@
         self._numbers = itertools.count(1)
         self._ending = threading.Event()
         self._threads: list[threading.Thread] = []
-        self.answers: list[Answer] = []
+        self.responses: list[Answer] = []
 
     def start(self) -> None:
         """Start the callers."""
@@ -174,7 +174,7 @@
         except (OSError, http.client.HTTPException):
             # No response or a truncated one, as when the daemon is killed.
             connection.close()
-        self.answers.append(
+        self.responses.append(
             Answer(
                 request_id, node.name, repeatable, status, begun, whole, sent_at, time.monotonic()
             )
@@ -394,14 +394,14 @@
         violations += _check_recovery(cluster)
         runs, leaves = _read_target_logs(cluster)
         violations += broken_promises(
-            callers.answers, runs, leaves, faults.kills, faults.disturbances
+            callers.responses, runs, leaves, faults.kills, faults.disturbances
         )
         violations += faults.overdue
     finally:
         if violations and keep is not None:
             shutil.copytree(cluster.logs, keep / f"seed-{seed}", dirs_exist_ok=True)
         cluster.stop()
-    return violations, sum(a.status == http.client.OK for a in callers.answers)
+    return violations, sum(a.status == http.client.OK for a in callers.responses)
 
 
 def _play_faults(planned_faults: list[SoakFault], faults: _Faults, seconds: float) -> None:
--- a/packages/devtools/src/pearward_devtools/mesh/soak_checks.py
+++ b/packages/devtools/src/pearward_devtools/mesh/soak_checks.py
@@ -86,13 +86,13 @@
     began: float
     ended: float
 
-    def may_have_truncated(self, answer: Answer) -> bool:
+    def may_have_truncated(self, response: Answer) -> bool:
         """Return whether the disturbance may have truncated a response."""
-        return answer.sent_at <= self.ended + DETECTION_S and self.began <= answer.ended_at
+        return response.sent_at <= self.ended + DETECTION_S and self.began <= response.ended_at
 
 
 def broken_promises(
-    answers: Sequence[Answer],
+    responses: Sequence[Answer],
     runs: Sequence[Run],
     leaves: Iterable[Leave],
     kills: Sequence[Restart],
@@ -100,21 +100,21 @@
 ) -> list[str]:
     """Return a line for each violated guarantee."""
     return [
-        *_wrong_bodies(answers),
-        *_run_twice(answers, runs),
-        *_refused_and_run(answers, runs),
+        *_wrong_bodies(responses),
+        *_run_twice(responses, runs),
+        *_refused_and_run(responses, runs),
         *_two_owners(runs),
         *_wrong_service(runs),
         *_after_leave(runs, leaves),
         *_crashed_on(runs),
-        *_closed_without_response(answers, runs, kills),
-        *_truncated(answers, disturbances),
+        *_closed_without_response(responses, runs, kills),
+        *_truncated(responses, disturbances),
     ]
 
 
-def _wrong_bodies(answers: Sequence[Answer]) -> list[str]:
+def _wrong_bodies(responses: Sequence[Answer]) -> list[str]:
     return [
-        f"{a.id}: status 200 with a wrong body" for a in answers if a.status == OK and not a.whole
+        f"{a.id}: status 200 with a wrong body" for a in responses if a.status == OK and not a.whole
     ]
 
 
@@ -125,20 +125,20 @@
     return by_id
 
 
-def _run_twice(answers: Sequence[Answer], runs: Sequence[Run]) -> list[str]:
+def _run_twice(responses: Sequence[Answer], runs: Sequence[Run]) -> list[str]:
     by_id = _runs_by_id(runs)
     return [
         f"{a.id}: not repeatable, but ran at {[r.target for r in by_id[a.id]]}"
-        for a in answers
+        for a in responses
         if not a.repeatable and len(by_id[a.id]) > 1
     ]
 
 
-def _refused_and_run(answers: Sequence[Answer], runs: Sequence[Run]) -> list[str]:
+def _refused_and_run(responses: Sequence[Answer], runs: Sequence[Run]) -> list[str]:
     by_id = _runs_by_id(runs)
     return [
         f"{a.id}: status {a.status}, but ran at {by_id[a.id][0].target}"
-        for a in answers
+        for a in responses
         if a.status in NOT_EXECUTED_STATUSES and not a.repeatable and by_id[a.id]
     ]
 
@@ -195,13 +195,13 @@
 
 
 def _closed_without_response(
-    answers: Sequence[Answer], runs: Sequence[Run], kills: Sequence[Restart]
+    responses: Sequence[Answer], runs: Sequence[Run], kills: Sequence[Restart]
 ) -> list[str]:
     """Check that a request that ran gets a response, unless its daemon was killed meanwhile."""
     ran = {run.id for run in runs}
     return [
         f"{a.id}: ran, but {a.node} closed the connection without a response"
-        for a in answers
+        for a in responses
         if a.status == 0
         and not a.begun
         and a.id in ran
@@ -209,10 +209,10 @@
     ]
 
 
-def _truncated(answers: Sequence[Answer], disturbances: Sequence[Disturbance]) -> list[str]:
+def _truncated(responses: Sequence[Answer], disturbances: Sequence[Disturbance]) -> list[str]:
     """Check that a started response is complete, unless a disturbance may have truncated it."""
     return [
         f"{a.id}: response truncated without a fault"
-        for a in answers
+        for a in responses
         if a.status == 0 and a.begun and not any(d.may_have_truncated(a) for d in disturbances)
     ]
--- a/packages/devtools/src/pearward_devtools/standin_server.py
+++ b/packages/devtools/src/pearward_devtools/standin_server.py
@@ -61,7 +61,7 @@
         if shard is None or epoch is None:
             return ""
         granted = self.epochs.get(shard.decode())
-        return "" if granted == int(epoch) else f"granted epoch {granted}, requested {int(epoch)}"
+        return "" if granted == int(epoch) else f"granted epoch {granted}, asked {int(epoch)}"
 
 
 @implementer(IPushProducer)
