--- a/packages/devtools/src/pearward_devtools/mesh/cluster.py
+++ b/packages/devtools/src/pearward_devtools/mesh/cluster.py
@@ -119,7 +119,7 @@
         wait_until(lambda: all(self.state(n)["rows"] for n in keyed), "all targets to hold keys")
 
     def stop(self) -> None:
-        """End every process."""
+        """Kill every process and release the network."""
         for node in self.nodes:
             for process in (node.daemon, node.target):
                 _kill_process(process)
--- a/packages/devtools/src/pearward_devtools/mesh/target.py
+++ b/packages/devtools/src/pearward_devtools/mesh/target.py
@@ -56,7 +56,7 @@
         """Whether keys are granted by calls instead of heartbeat responses."""
         self.calls = KeyCalls(self.held, self._is_working_on)
         self._running_keys: list[int] = []
-        """Key of each running request; -1 for requests without a key."""
+        """Key of each running request; -1 for requests without a numeric key."""
         self.released: list[list[Any]] = []
         self.runs: list[dict[str, Any]] = []
         self.running = 0
