--- a/packages/devtools/src/pearward_devtools/experiment/__init__.py
+++ b/packages/devtools/src/pearward_devtools/experiment/__init__.py
@@ -1,1 +1,1 @@
-"""Plays patterns of load against the daemon's own decisions, in virtual time."""
+"""Simulation of patterns of load against the daemon's decision code, in virtual time."""
--- a/packages/devtools/src/pearward_devtools/experiment/__main__.py
+++ b/packages/devtools/src/pearward_devtools/experiment/__main__.py
@@ -1,4 +1,4 @@
-"""``make experiment``: plays patterns of load and prints what they earn, by seed and policy."""
+"""``make experiment``: simulate patterns of load and print their credit, by load and policy."""
 
 import json
 import statistics
@@ -16,37 +16,40 @@
 
 PATTERNS = Path(__file__).parent / "patterns"
 Job = tuple[str, float, int, str]
+"""Pattern, load factor, seed, and the disabled mechanisms joined by ``+``."""
 
 
-def _play(job: Job) -> dict[str, object]:
-    """Play one pattern with one seed; *off* names the mechanisms that are switched off."""
+def _simulate(job: Job) -> dict[str, object]:
+    """Simulate one pattern with one seed, without the mechanisms named in *off*."""
     name, load, seed, off = job
     pattern = Pattern.from_file(PATTERNS / f"{name}.yaml")
     policy = OverloadPolicy(frozenset(Mechanism(each) for each in off.split("+") if each))
     tally = World(pattern, policy, seed, load).play()
-    fates = {
+    per_class = {
         each: {
-            "asked": fate.asked, "in_time": fate.in_time, "late": fate.late,
-            "refused": fate.refused, "again": fate.refused_again, "failed": fate.failed,
-            "credit": round(fate.credit / fate.owed, 4) if fate.owed else 0.0,
+            "asked": counts.asked, "in_time": counts.in_time, "late": counts.late,
+            "refused": counts.refused, "again": counts.refused_on_retry, "failed": counts.failed,
+            "credit": round(counts.credit / counts.owed, 4) if counts.owed else 0.0,
         }
-        for each, fate in tally.by_class.items()
+        for each, counts in tally.by_class.items()
     }  # fmt: skip
     return {
         "pattern": name, "load": load, "seed": seed, "off": off,
-        "credit": round(tally.credit, 4), "classes": fates,
+        "credit": round(tally.credit, 4), "classes": per_class,
     }  # fmt: skip
 
 
 @click.command()
-@click.option("--pattern", "names", multiple=True, help="patterns; all where none is named")
-@click.option("--load", "loads", multiple=True, type=float, help="factors of the rates")
+@click.option("--pattern", "names", multiple=True, help="pattern; all patterns by default")
+@click.option("--load", "loads", multiple=True, type=float, help="factor of the request rates")
 @click.option("--seeds", default=3, show_default=True)
 @click.option(
-    "--without", "without", multiple=True, help="mechanism to switch off, or several joined by +"
+    "--without", "without", multiple=True, help="mechanism to disable, or several joined by +"
+)
+@click.option("--jobs", default=None, type=int, help="number of processes; one per core by default")
+@click.option(
+    "--json-lines", type=click.Path(path_type=Path), help="file to which all results are written"
 )
-@click.option("--jobs", default=None, type=int, help="processes to use; one a core by default")
-@click.option("--json-lines", type=click.Path(path_type=Path), help="file for all results")
 def main(
     names: tuple[str, ...],
     loads: tuple[float, ...],
@@ -55,9 +58,9 @@
     jobs: int | None,
     json_lines: Path | None,
 ) -> None:
-    """Print the mean credit of each pattern, with its spread over the seeds."""
+    """Print the mean credit of each pattern, and its spread over the seeds."""
     chosen = names or tuple(sorted(path.stem for path in PATTERNS.glob("*.yaml")))
-    plays = [
+    runs = [
         (name, load, seed, off)
         for name in chosen
         for load in loads or (1.0,)
@@ -65,13 +68,13 @@
         for seed in range(1, seeds + 1)
     ]
     with ProcessPoolExecutor(jobs) as pool:
-        results = list(pool.map(_play, plays))
+        results = list(pool.map(_simulate, runs))
     if json_lines is not None:
         json_lines.write_text("".join(json.dumps(row) + "\n" for row in results), encoding="utf-8")
-    _print(results)
+    _print_summary(results)
 
 
-def _print(results: list[dict[str, object]]) -> None:
+def _print_summary(results: list[dict[str, object]]) -> None:
     groups: dict[tuple[str, float, str], list[dict[str, object]]] = {}
     for row in results:
         key = (str(row["pattern"]), float(str(row["load"])), str(row["off"]))
@@ -84,13 +87,15 @@
         classes = rows[0]["classes"]
         assert isinstance(classes, dict)
         for each in classes:
-            fates = [row["classes"][each] for row in rows]  # type: ignore[index]
-            asked = sum(f["asked"] for f in fates) or 1
+            class_counts = [row["classes"][each] for row in rows]  # type: ignore[index]
+            asked = sum(f["asked"] for f in class_counts) or 1
             shares = "/".join(
-                f"{sum(f[k] for f in fates) / asked:.2f}"
+                f"{sum(f[k] for f in class_counts) / asked:.2f}"
                 for k in ("in_time", "late", "refused", "failed")
             )
-            parts.append(f"{each} {statistics.mean(f['credit'] for f in fates):.3f} ({shares})")
+            parts.append(
+                f"{each} {statistics.mean(f['credit'] for f in class_counts):.3f} ({shares})"
+            )
         click.echo(
             f"{name:16} {load:5.2f} {off or '-':18} {statistics.mean(credits_):7.3f}"
             f" {spread:7.3f}  {'; '.join(parts)}"
--- a/packages/devtools/src/pearward_devtools/experiment/model.py
+++ b/packages/devtools/src/pearward_devtools/experiment/model.py
@@ -1,8 +1,8 @@
-"""Targets, callers and links as models around the daemon's own decisions.
+"""Discrete-event simulation of targets, callers and links around the daemon's decision code.
 
-Real are the queue of a target, the choice among targets, the plan of attempts and the time
-after which refused callers come back. Modelled are the work of a request, the hop between
-two daemons, and callers who come back as often as they do and give up when they do.
+The slot queue of a target, the choice among targets, the attempt plan and the retry delay are
+the daemon's own code. The running time of a request, the delay between two daemons, and the
+retries and deadlines of the callers are simulated.
 """
 
 import heapq
@@ -29,48 +29,51 @@
 
 from .pattern import Pattern, RequestSpec, ServiceSpec
 
-__all__ = ["Fate", "Tally", "World"]
+__all__ = ["ClassCounts", "Tally", "World"]
 
 HOP_S = 0.002
-"""Seconds from one daemon to another."""
+"""One-way delay between two daemons, in seconds."""
 QUEUE_PER_SLOT = 8
-CROWDED_SHARE, CROWDED_X = 0.75, 1.15
-"""Part of the slots from which a target slows down, and how much more it then takes."""
+"""Queue capacity of a target, per slot."""
+SLOWDOWN_LOAD, SLOWDOWN_FACTOR = 0.75, 1.15
+"""Share of busy slots above which a target slows down, and the factor on its running times."""
 GRACE_S = 4.0
-"""Seconds after the end of the load in which requests may still be answered."""
+"""Seconds for which the simulation continues after the load, so that open requests can end."""
 
 
 @dataclass
-class Fate:
-    """What has become of the requests of one class."""
+class ClassCounts:
+    """Results of the requests of one class."""
 
     asked: int = 0
     in_time: int = 0
     late: int = 0
     refused: int = 0
-    refused_again: int = 0
+    refused_on_retry: int = 0
     failed: int = 0
     credit: float = 0.0
+    """Value earned by served requests, less the deductions for refused retries."""
     owed: float = 0.0
+    """Value of all requests, which is the largest possible credit."""
 
 
 @dataclass
 class Tally:
-    """The fates by class, and what was in time by second of the first try."""
+    """Results by class of requests, and by the second of a request's first try."""
 
-    by_class: dict[str, Fate] = field(default_factory=dict)
+    by_class: dict[str, ClassCounts] = field(default_factory=dict)
     seconds: dict[int, list[int]] = field(default_factory=dict)
-    """Requests that were asked, in time, late and refused, by second."""
+    """Requests sent, served in time, served late and not served, by second of the first try."""
 
     @property
     def credit(self) -> float:
-        """Mean credit of a request that is owed any, less what second refusals cost."""
-        owed = sum(fate.owed for fate in self.by_class.values())
-        return sum(fate.credit for fate in self.by_class.values()) / owed if owed else 0.0
+        """Credit of all classes as a share of the largest possible credit."""
+        owed = sum(counts.owed for counts in self.by_class.values())
+        return sum(counts.credit for counts in self.by_class.values()) / owed if owed else 0.0
 
 
 class _Target:
-    """One target: its queue and its speed."""
+    """A simulated target: its slot queue and its speed."""
 
     def __init__(self, world: "World", spec: ServiceSpec, number: int) -> None:
         self.name = f"{spec.name}-{number}"
@@ -79,7 +82,7 @@
         self.lost = False
         limits = SlotLimits(spec.slots, spec.slots * QUEUE_PER_SLOT, policy=world.policy)
         self.queue = SlotQueue(limits)
-        self.waiting: dict[SlotTicket, _Run] = {}
+        self.waiting: dict[SlotTicket, _Attempt] = {}
 
     def load(self, now: float) -> TargetLoad:
         queue = self.queue
@@ -87,28 +90,30 @@
 
 
 @dataclass(eq=False)
-class _Run:
-    """One attempt at a target."""
+class _Attempt:
+    """One attempt of a request at one target."""
 
     spec: RequestSpec
     target: _Target
     ticket: SlotTicket
-    over: Callable[[Outcome, Reason | None, float], None]
-    """Told the outcome, its reason, and when to come back."""
+    on_end: Callable[[Outcome, Reason | None, float], None]
+    """Called with the outcome, its reason, and the delay in seconds before a retry."""
     done: bool = False
 
 
 class World:
-    """Plays one pattern with one seed."""
+    """Simulation of one pattern of load with one seed, in virtual time."""
 
-    def __init__(self, pattern: Pattern, policy: OverloadPolicy, seed: int, load: float) -> None:
+    def __init__(
+        self, pattern: Pattern, policy: OverloadPolicy, seed: int, load_factor: float
+    ) -> None:
         self._pattern = pattern
         self.policy = policy
-        self._load = load
+        self._load_factor = load_factor
         self._rng = Random(f"{pattern.name} {seed}")
         self.now = 0.0
         self._events: list[tuple[float, int, Callable[[], None]]] = []
-        self._count = 0
+        self._sequence = 0
         self._requests = {request.name: request for request in pattern.requests}
         self._targets = {
             spec.name: [_Target(self, spec, n) for n in range(len(spec.speeds))]
@@ -116,306 +121,321 @@
         }
         self._keyed = {spec.name for spec in pattern.services if spec.keyed}
         self._views: dict[tuple[int, str], LoadView] = {}
-        self._odds: dict[tuple[int, str], IdleOdds] = {}
-        self._usual: dict[tuple[int, str], MeanService] = {}
-        self.tally = Tally({r.name: Fate() for r in pattern.requests if r.per_s})
+        self._free_slot_odds: dict[tuple[int, str], IdleOdds] = {}
+        self._mean_running_times: dict[tuple[int, str], MeanService] = {}
+        self.tally = Tally({r.name: ClassCounts() for r in pattern.requests if r.per_s})
 
     # -- time --------------------------------------------------------------------------
 
-    def after(self, delay_s: float, call: Callable[[], None]) -> None:
-        """Run *call* after *delay_s* seconds."""
-        self._count += 1
-        heapq.heappush(self._events, (self.now + delay_s, self._count, call))
+    def schedule(self, delay_s: float, call: Callable[[], None]) -> None:
+        """Run *call* after *delay_s* seconds of virtual time."""
+        self._sequence += 1
+        heapq.heappush(self._events, (self.now + delay_s, self._sequence, call))
 
     def play(self) -> Tally:
-        """Play the whole pattern and return the fates of its requests."""
+        """Simulate the whole pattern and return the results of its requests."""
         for request in self._pattern.requests:
             if request.per_s:
-                self._arrive(request)
+                self._schedule_arrival(request)
         for change in self._pattern.changes:
             if change.kind == "lost":
                 for target in self._targets[change.service][: change.targets]:
-                    self.after(change.at_s, lambda t=target: self._lose(t, True))  # type: ignore[misc]
-                    ends_s = change.at_s + change.for_s
-                    self.after(ends_s, lambda t=target: self._lose(t, False))  # type: ignore[misc]
+                    self.schedule(change.start_s, lambda t=target: self._set_lost(t, True))  # type: ignore[misc]
+                    ends_s = change.start_s + change.duration_s
+                    self.schedule(ends_s, lambda t=target: self._set_lost(t, False))  # type: ignore[misc]
         ends = self._pattern.seconds + GRACE_S
         while self._events and self._events[0][0] <= ends:
             self.now, _, call = heapq.heappop(self._events)
             call()
         return self.tally
 
-    def _lose(self, target: _Target, lost: bool) -> None:
+    def _set_lost(self, target: _Target, lost: bool) -> None:
         target.lost = lost
 
-    def _changed(self, kind: str, service: str, target: _Target | None = None) -> float | None:
-        """Return how strong a change of this kind is now; None while there is none."""
+    def _magnitude_of(self, kind: str, service: str, target: _Target | None = None) -> float | None:
+        """Return the magnitude of the active change of a kind, or None."""
         for change in self._pattern.changes:
             if change.kind != kind or change.service not in ("", service):
                 continue
-            if not change.at_s <= self.now < change.at_s + change.for_s:
+            if not change.start_s <= self.now < change.start_s + change.duration_s:
                 continue
             if target is None or target in self._targets[service][: change.targets]:
-                return change.x
+                return change.magnitude
         return None
 
     # -- callers ------------------------------------------------------------------------
 
-    def _arrive(self, spec: RequestSpec) -> None:
-        rate = spec.per_s * self._load * (self._changed("rate", spec.service) or 1.0)
-        self.after(self._rng.expovariate(rate), lambda: self._next_arrival(spec))
+    def _schedule_arrival(self, spec: RequestSpec) -> None:
+        rate = spec.per_s * self._load_factor * (self._magnitude_of("rate", spec.service) or 1.0)
+        self.schedule(self._rng.expovariate(rate), lambda: self._on_arrival(spec))
 
-    def _next_arrival(self, spec: RequestSpec) -> None:
+    def _on_arrival(self, spec: RequestSpec) -> None:
         if self.now >= self._pattern.seconds:
             return
-        self._arrive(spec)
-        fate = self.tally.by_class[spec.name]
-        fate.asked += 1
-        fate.owed += spec.worth
-        self._seconds()[0] += 1
-        returns = spec.returns
-        if (abuse := self._changed("abuse", spec.service)) is not None:
-            returns += int(abuse)
-        self._try(spec, self.now, returns, first=True)
-
-    def _seconds(self, began: float | None = None) -> list[int]:
+        self._schedule_arrival(spec)
+        counts = self.tally.by_class[spec.name]
+        counts.asked += 1
+        counts.owed += spec.value
+        self._second_counts()[0] += 1
+        max_retries = spec.max_retries
+        if (abuse := self._magnitude_of("abuse", spec.service)) is not None:
+            max_retries += int(abuse)
+        self._try(spec, self.now, max_retries, first=True)
+
+    def _second_counts(self, began: float | None = None) -> list[int]:
         second = int(self.now if began is None else began)
         return self.tally.seconds.setdefault(second, [0, 0, 0, 0])
 
-    def _try(self, spec: RequestSpec, began: float, returns: int, *, first: bool) -> None:
+    def _try(self, spec: RequestSpec, began: float, retries: int, *, first: bool) -> None:
         deadline = began + spec.deadline_s
 
-        def over(outcome: Outcome, reason: Reason | None, back_s: float) -> None:
+        def on_end(outcome: Outcome, reason: Reason | None, retry_delay_s: float) -> None:
             left_s = deadline - self.now
-            free = outcome is Outcome.NOT_RUN or (spec.safe and outcome is Outcome.UNKNOWN)
-            if free and returns > 0 and left_s > 0.05:
-                pause_s = min(back_s, left_s / 3)
-                self.after(pause_s, lambda: self._try(spec, began, returns - 1, first=False))
+            retryable = outcome is Outcome.NOT_RUN or (
+                spec.idempotent and outcome is Outcome.UNKNOWN
+            )
+            if retryable and retries > 0 and left_s > 0.05:
+                pause_s = min(retry_delay_s, left_s / 3)
+                self.schedule(pause_s, lambda: self._try(spec, began, retries - 1, first=False))
             else:
-                self._ended(spec, began, outcome, first=first)
+                self._count_result(spec, began, outcome, first=first)
 
         aged = self.policy.uses(Mechanism.AGED_RETURNS)
-        _Route(self, spec, deadline, over, began if aged else self.now).next()
+        _RoutedRequest(self, spec, deadline, on_end, began if aged else self.now).next_attempt()
 
-    def _ended(self, spec: RequestSpec, began: float, outcome: Outcome, *, first: bool) -> None:
-        fate = self.tally.by_class[spec.name]
-        row = self._seconds(began)
+    def _count_result(
+        self, spec: RequestSpec, began: float, outcome: Outcome, *, first: bool
+    ) -> None:
+        counts = self.tally.by_class[spec.name]
+        row = self._second_counts(began)
         if outcome is Outcome.SERVED:
             in_time = self.now - began <= spec.objective_s
-            fate.in_time += in_time
-            fate.late += not in_time
-            fate.credit += spec.worth * (1.0 if in_time else spec.late_worth)
+            counts.in_time += in_time
+            counts.late += not in_time
+            counts.credit += spec.value * (1.0 if in_time else spec.late_value)
             row[1 if in_time else 2] += 1
             return
         row[3] += 1
         if outcome is Outcome.NOT_RUN:
-            fate.refused += 1
-            fate.refused_again += not first
-            fate.credit -= 0.0 if first else 0.3 * spec.worth
+            counts.refused += 1
+            counts.refused_on_retry += not first
+            counts.credit -= 0.0 if first else 0.3 * spec.value
         else:
-            fate.failed += 1
+            counts.failed += 1
 
-    def requester(self) -> int:
-        """Return the daemon at which a request begins."""
-        return self._rng.randrange(self._pattern.requesters)
+    def pick_ingress(self) -> int:
+        """Draw the ingress daemon that receives a request from its caller."""
+        return self._rng.randrange(self._pattern.ingress_count)
 
-    # -- choice -------------------------------------------------------------------------
+    # -- target choice ------------------------------------------------------------------
 
-    def place(self, spec: RequestSpec, requester: int, plan: AttemptPlan) -> _Target | None:
-        """Return the target that the next attempt goes to."""
+    def pick_target(self, spec: RequestSpec, ingress: int, plan: AttemptPlan) -> _Target | None:
+        """Return the target of the next attempt, or None if no target is available."""
         targets = self._targets[spec.service]
         if spec.service in self._keyed:
             return self._owner(spec, targets)
         domains = self._pattern.domains
-        near = [t for number, t in enumerate(targets) if (number - requester) % domains == 0]
-        far = [t for number, t in enumerate(targets) if (number - requester) % domains]
+        near = [t for number, t in enumerate(targets) if (number - ingress) % domains == 0]
+        far = [t for number, t in enumerate(targets) if (number - ingress) % domains]
 
         def usable(target: _Target) -> bool:
             return target.name not in plan.excluded and not target.lost
 
-        few = self.policy.uses(Mechanism.FEW_LOOKS)
-        drawn = draw(near, NEAR_LOOKS if few else len(near), usable, self._rng)
-        drawn += draw(far, FAR_LOOKS if few else len(far), usable, self._rng)
-        drawn += [
-            t for t in targets if t.name in plan.full_targets and usable(t) and t not in drawn
+        sampling = self.policy.uses(Mechanism.FEW_LOOKS)
+        sampled = draw(near, NEAR_LOOKS if sampling else len(near), usable, self._rng)
+        sampled += draw(far, FAR_LOOKS if sampling else len(far), usable, self._rng)
+        sampled += [
+            t for t in targets if t.name in plan.full_targets and usable(t) and t not in sampled
         ]
-        candidates = [Candidate(t.name, t in near, self.view(requester, t)) for t in drawn]
-        usual_s = self._usual.setdefault((requester, spec.service), MeanService()).seconds
+        candidates = [Candidate(t.name, t in near, self.load_view(ingress, t)) for t in sampled]
+        usual_s = self._mean_running_times.setdefault(
+            (ingress, spec.service), MeanService()
+        ).seconds
         chosen = choose_target(candidates, self.now, self._rng, usual_s=usual_s)
-        return next(t for t in drawn if t.name == chosen.target) if chosen is not None else None
+        return next(t for t in sampled if t.name == chosen.target) if chosen is not None else None
 
     def _owner(self, spec: RequestSpec, targets: list[_Target]) -> _Target | None:
-        living = [t for t in targets if not t.lost]
-        if not living:
+        available = [t for t in targets if not t.lost]
+        if not available:
             return None
-        hot = self._changed("hot", spec.service)
+        hot = self._magnitude_of("hot", spec.service)
         if hot is not None and self._rng.random() < hot:
-            return max(living, key=lambda t: t.speed)
-        return self._rng.choices(living, [t.speed for t in living])[0]
+            return max(available, key=lambda t: t.speed)
+        return self._rng.choices(available, [t.speed for t in available])[0]
 
-    def has_other(self, spec: RequestSpec, tried: set[str]) -> bool:
-        """Return whether a service has a target that was not tried."""
+    def has_untried(self, spec: RequestSpec, tried: set[str]) -> bool:
+        """Return whether a service has an available target outside *tried*."""
         return any(t.name not in tried and not t.lost for t in self._targets[spec.service])
 
-    def odds(self, requester: int, service: str) -> IdleOdds:
-        """Return how often one requester finds a place without a queue at a service."""
-        return self._odds.setdefault((requester, service), IdleOdds())
+    def free_slot_odds(self, ingress: int, service: str) -> IdleOdds:
+        """Return the estimate of how often an ingress finds a free slot at a service."""
+        return self._free_slot_odds.setdefault((ingress, service), IdleOdds())
 
-    def loaded(self, requester: int, target: _Target, load: TargetLoad) -> None:
-        """A requester was told a target's load."""
-        self.view(requester, target).reported(load, self.now)
-        self._usual.setdefault((requester, target.service), MeanService()).reported(load)
+    def note_load(self, ingress: int, target: _Target, load: TargetLoad) -> None:
+        """Record the load that a target reported to an ingress."""
+        self.load_view(ingress, target).reported(load, self.now)
+        self._mean_running_times.setdefault((ingress, target.service), MeanService()).reported(load)
 
-    def view(self, requester: int, target: _Target) -> LoadView:
-        """Return what one requester knows of a target."""
-        return self._views.setdefault((requester, target.name), LoadView())
+    def load_view(self, ingress: int, target: _Target) -> LoadView:
+        """Return the load of a target as one ingress last observed it."""
+        return self._views.setdefault((ingress, target.name), LoadView())
 
     # -- targets ------------------------------------------------------------------------
 
-    def offer(self, run: _Run) -> None:
-        """Ask a target's queue for a slot."""
-        target = run.target
-        offered = target.queue.offer(run.ticket, self.now)
+    def offer(self, attempt: _Attempt) -> None:
+        """Request a slot for an attempt from its target's queue."""
+        target = attempt.target
+        offered = target.queue.offer(attempt.ticket, self.now)
         if isinstance(offered, Refused):
-            run.done = True
-            run.over(Outcome.NOT_RUN, Reason.OVERLOADED, offered.retry_after_s)
+            attempt.done = True
+            attempt.on_end(Outcome.NOT_RUN, Reason.OVERLOADED, offered.retry_after_s)
         elif offered:
-            self._start(run)
+            self._start(attempt)
         else:
-            target.waiting[run.ticket] = run
-            self.after(target.queue.patience_s(run.ticket, self.now), lambda: self._waited(run))
-        self.after(max(0.0, run.ticket.deadline - self.now), lambda: self._out_of_time(run))
+            target.waiting[attempt.ticket] = attempt
+            self.schedule(
+                target.queue.patience_s(attempt.ticket, self.now),
+                lambda: self._on_max_wait(attempt),
+            )
+        self.schedule(
+            max(0.0, attempt.ticket.deadline - self.now), lambda: self._on_deadline(attempt)
+        )
 
-    def _waited(self, run: _Run) -> None:
-        if run.done or not run.ticket.waiting:
+    def _on_max_wait(self, attempt: _Attempt) -> None:
+        if attempt.done or not attempt.ticket.waiting:
             return
-        back_s = run.target.queue.retry_after(run.ticket, 0.0, self.now)
-        self._end(run, Outcome.NOT_RUN, Reason.OVERLOADED, back_s)
+        retry_delay_s = attempt.target.queue.retry_after(attempt.ticket, 0.0, self.now)
+        self._finish(attempt, Outcome.NOT_RUN, Reason.OVERLOADED, retry_delay_s)
 
-    def _out_of_time(self, run: _Run) -> None:
-        if not run.done:
-            unknown = not run.ticket.waiting
+    def _on_deadline(self, attempt: _Attempt) -> None:
+        if not attempt.done:
+            unknown = not attempt.ticket.waiting
             outcome = Outcome.UNKNOWN if unknown else Outcome.NOT_RUN
-            self._end(run, outcome, Reason.DEADLINE)
+            self._finish(attempt, outcome, Reason.DEADLINE)
 
-    def _start(self, run: _Run) -> None:
-        spec, target = run.spec, run.target
+    def _start(self, attempt: _Attempt) -> None:
+        spec, target = attempt.spec, attempt.target
         mu = math.log(spec.work_s) - spec.spread**2 / 2
         work_s = self._rng.lognormvariate(mu, spec.spread) / target.speed
-        work_s *= self._changed("slow", target.service, target) or 1.0
-        if target.queue.running > target.queue.slots * CROWDED_SHARE:
-            work_s *= CROWDED_X
+        work_s *= self._magnitude_of("slow", target.service, target) or 1.0
+        if target.queue.running > target.queue.slots * SLOWDOWN_LOAD:
+            work_s *= SLOWDOWN_FACTOR
         calls = [
             self._requests[call.request]
             for call in spec.calls
             if self._rng.random() < call.share
             for _ in range(call.times)
         ]
-        self.after(work_s, lambda: self._worked(run, calls))
+        self.schedule(work_s, lambda: self._on_work_done(attempt, calls))
 
-    def _worked(self, run: _Run, calls: list[RequestSpec]) -> None:
-        """The own work is done: make the calls one after the other, then answer."""
-        if run.done:
+    def _on_work_done(self, attempt: _Attempt, calls: list[RequestSpec]) -> None:
+        """Make the remaining *calls* of a request one after the other, then send the response."""
+        if attempt.done:
             return
         if not calls:
-            grey = self._changed("grey", run.target.service, run.target)
+            grey = self._magnitude_of("grey", attempt.target.service, attempt.target)
             failed = grey is not None and self._rng.random() < grey
-            self._end(run, Outcome.UNKNOWN if failed else Outcome.SERVED, None)
+            self._finish(attempt, Outcome.UNKNOWN if failed else Outcome.SERVED, None)
             return
 
-        def over(outcome: Outcome, reason: Reason | None, back_s: float) -> None:
-            if run.done:
+        def on_end(outcome: Outcome, reason: Reason | None, retry_delay_s: float) -> None:
+            if attempt.done:
                 return
             if outcome is Outcome.SERVED:
-                self._worked(run, calls[1:])
+                self._on_work_done(attempt, calls[1:])
             else:
-                self._end(run, Outcome.UNKNOWN, Reason.TARGET_FAILED)
+                self._finish(attempt, Outcome.UNKNOWN, Reason.TARGET_FAILED)
 
-        deadline = min(run.ticket.deadline, self.now + calls[0].deadline_s)
-        _Route(self, calls[0], deadline, over, self.now).next()
+        deadline = min(attempt.ticket.deadline, self.now + calls[0].deadline_s)
+        _RoutedRequest(self, calls[0], deadline, on_end, self.now).next_attempt()
 
-    def _end(self, run: _Run, outcome: Outcome, reason: Reason | None, back_s: float = 0.0) -> None:
-        run.done = True
-        target = run.target
-        target.waiting.pop(run.ticket, None)
-        target.queue.finish(run.ticket, self.now, measured=outcome is Outcome.SERVED)
+    def _finish(
+        self, attempt: _Attempt, outcome: Outcome, reason: Reason | None, retry_delay_s: float = 0.0
+    ) -> None:
+        attempt.done = True
+        target = attempt.target
+        target.waiting.pop(attempt.ticket, None)
+        target.queue.finish(attempt.ticket, self.now, measured=outcome is Outcome.SERVED)
         started, late = target.queue.next_starts(self.now)
         for ticket in started:
             self._start(target.waiting.pop(ticket))
-        run.over(outcome, reason, back_s)
+        attempt.on_end(outcome, reason, retry_delay_s)
         for ticket in late:
             other = target.waiting.pop(ticket)
             other.done = True
-            other.over(Outcome.NOT_RUN, Reason.DEADLINE, 0.0)
+            other.on_end(Outcome.NOT_RUN, Reason.DEADLINE, 0.0)
 
 
-class _Route:
-    """One request at a requester's daemon: its attempts, as the daemon plans them."""
+class _RoutedRequest:
+    """One request at its ingress, with the attempts that the attempt plan allows."""
 
     def __init__(
         self,
         world: World,
         spec: RequestSpec,
         deadline: float,
-        over: Callable[[Outcome, Reason | None, float], None],
+        on_end: Callable[[Outcome, Reason | None, float], None],
         first_try: float,
     ) -> None:
         self._world = world
         self._spec = spec
-        self._over = over
-        self._requester = world.requester()
+        self._on_end = on_end
+        self._ingress = world.pick_ingress()
         self._keyed = spec.service in world._keyed
         now = world.now
         self._deadline = min(deadline, now + spec.timeout_s)
         times = RequestTimes(now, first_try + spec.objective_s, self._deadline)
         self._plan = AttemptPlan(times, True, self._keyed, max_attempts=2)
 
-    def next(self) -> None:
-        """Make the next attempt."""
+    def next_attempt(self) -> None:
+        """Start the next attempt; end the request if no target is available."""
         world, spec = self._world, self._spec
-        target = world.place(spec, self._requester, self._plan)
+        target = world.pick_target(spec, self._ingress, self._plan)
         if target is None:
-            self._over(Outcome.NOT_RUN, Reason.NO_ROUTE, 0.1)
+            self._on_end(Outcome.NOT_RUN, Reason.NO_ROUTE, 0.1)
             return
-        view = world.view(self._requester, target)
-        view.in_flight += 1
+        load_view = world.load_view(self._ingress, target)
+        load_view.in_flight += 1
         arrives = world.now + HOP_S
         objective = self._plan.times.objective
         idle_only = (
             not self._keyed
             and not self._plan.asks_last
             and world.policy.uses(Mechanism.IDLE_FIRST)
-            and world.has_other(spec, self._plan.tried | {target.name})
-            and world.odds(self._requester, spec.service).worth_asking()
+            and world.has_untried(spec, self._plan.tried | {target.name})
+            and world.free_slot_odds(self._ingress, spec.service).worth_asking()
         )
         ticket = SlotTicket(
             spec.rank, self._deadline, objective, arrives, spec.name, idle_only=idle_only
         )
 
-        def back(outcome: Outcome, reason: Reason | None, back_s: float) -> None:
+        def send_reply(outcome: Outcome, reason: Reason | None, retry_delay_s: float) -> None:
             if idle_only:
-                odds = world.odds(self._requester, spec.service)
-                odds.asked(found=reason is not Reason.OVERLOADED)
+                free_slot_odds = world.free_slot_odds(self._ingress, spec.service)
+                free_slot_odds.asked(found=reason is not Reason.OVERLOADED)
             load = target.load(world.now)
-            world.after(HOP_S, lambda: self._answered(target, load, outcome, reason, back_s))
+            world.schedule(
+                HOP_S, lambda: self._on_reply(target, load, outcome, reason, retry_delay_s)
+            )
 
-        run = _Run(spec, target, ticket, back)
-        world.after(HOP_S, lambda: world.offer(run))
+        attempt = _Attempt(spec, target, ticket, send_reply)
+        world.schedule(HOP_S, lambda: world.offer(attempt))
 
-    def _answered(
+    def _on_reply(
         self,
         target: _Target,
         load: TargetLoad,
         outcome: Outcome,
         reason: Reason | None,
-        back_s: float,
+        retry_delay_s: float,
     ) -> None:
         now = self._world.now
-        view = self._world.view(self._requester, target)
-        view.in_flight -= 1
-        self._world.loaded(self._requester, target, load)
+        load_view = self._world.load_view(self._ingress, target)
+        load_view.in_flight -= 1
+        self._world.note_load(self._ingress, target, load)
         if outcome is Outcome.NOT_RUN and reason is not None:
             step = self._plan.after_failure(outcome, reason, target.name, now)
             if step is NextStep.ELSEWHERE:
-                self.next()
+                self.next_attempt()
                 return
-        self._over(outcome, reason, back_s)
+        self._on_end(outcome, reason, retry_delay_s)
--- a/packages/devtools/src/pearward_devtools/experiment/pattern.py
+++ b/packages/devtools/src/pearward_devtools/experiment/pattern.py
@@ -1,4 +1,7 @@
-"""A pattern of load: services, classes of requests, and what changes while it is played."""
+"""A pattern of load: services, classes of requests, and changes during the simulation.
+
+Source: the YAML files in ``patterns/`` beside this module.
+"""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -18,20 +21,20 @@
 
     name: str
     speeds: tuple[float, ...]
-    """Work that each target does in a second, over that of a usual one; a pattern's file may
-    say how often its list is repeated."""
+    """Speed of each target as a factor of the normal speed; the key ``repeat`` of a pattern's
+    file repeats the list."""
     slots: int
     keyed: bool
-    """Whether each request has one owner; else any target may run it."""
+    """Whether each request has one owner; otherwise any target may run it."""
 
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """A request that a target makes while it runs another one."""
+    """A request that a target sends while it runs another one."""
 
     request: str
     share: float
-    """Part of the runs that make it."""
+    """Share of the runs that send it."""
     times: int
 
 
@@ -42,68 +45,71 @@
     name: str
     service: str
     per_s: float
-    """Requests of callers in a second; 0 for those that only targets make."""
+    """Requests of callers per second; 0 for requests that only targets send."""
     work_s: float
+    """Mean running time at a target of normal speed, without calls."""
     spread: float
-    """Standard deviation of the logarithm of the work."""
+    """Standard deviation of the logarithm of the running time."""
     objective_s: float
     timeout_s: float
-    """By when the router gives up."""
+    """Time limit of the router for one request."""
     deadline_s: float
-    """By when the caller gives up, returns included."""
+    """Time limit of the caller, retries included."""
     rank: int
-    worth: float
-    late_worth: float
-    returns: int
-    """Tries after the first that a caller makes when it is refused."""
-    safe: bool
-    """Whether a caller comes back after any failure, and at once."""
+    value: float
+    """Credit for a response within the objective."""
+    late_value: float
+    """Share of the credit that a later response earns."""
+    max_retries: int
+    """Number of retries of a caller after refusals."""
+    idempotent: bool
+    """Whether a caller also retries when it is unknown whether the request was executed."""
     calls: tuple[Call, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """Something that is different for a while."""
+    """A temporary change of the load or of the targets."""
 
     kind: str
     """``rate``, ``hot``, ``slow``, ``lost``, ``grey`` or ``abuse``."""
-    at_s: float
-    for_s: float
-    x: float
-    """How strong it is: a factor, or a share of the requests."""
+    start_s: float
+    duration_s: float
+    magnitude: float
+    """A factor, a share of the requests, or for ``abuse`` the number of added retries."""
     service: str
-    """Service that it concerns; empty for all."""
+    """Affected service; empty for all services."""
     targets: int
-    """Targets that it concerns, from the first one on."""
+    """Number of affected targets, counted from the first one."""
 
 
 @dataclass(frozen=True, slots=True)
 class Pattern:
-    """All that is played."""
+    """The complete input of one simulation."""
 
     name: str
     seconds: float
-    requesters: int
-    """Daemons that choose among targets, each by what it has seen itself."""
+    ingress_count: int
+    """Number of daemons that choose among targets, each by the loads that it has observed."""
     domains: int
-    """Failure domains, over which requesters and targets are spread."""
+    """Number of failure domains, over which ingress daemons and targets are spread."""
     services: tuple[ServiceSpec, ...]
     requests: tuple[RequestSpec, ...]
     changes: tuple[Change, ...]
 
     @classmethod
     def from_file(cls, path: Path) -> "Pattern":
-        """Read a YAML file; raises InvalidField that names what is wrong."""
+        """Read a pattern from a YAML file; raises InvalidField that names the invalid field."""
         return cls.from_config(path.stem, yaml.safe_load(path.read_text(encoding="utf-8")))
 
     @classmethod
     def from_config(cls, name: str, data: object) -> "Pattern":
-        """Check a pattern; raises InvalidField."""
+        """Create a pattern from parsed YAML; raises InvalidField."""
         root = FieldReader(data, name)
         pattern = cls(
             name=name,
             seconds=root.number("seconds", 30.0, low=1.0),
-            requesters=root.integer("requesters", 4, low=1),
+            ingress_count=root.integer("requesters", 4, low=1),
             domains=root.integer("domains", 4, low=1),
             services=tuple(_service(root, row) for row in root.items("services")),
             requests=tuple(_request(root, row) for row in root.items("requests")),
@@ -143,10 +149,10 @@
         timeout_s=reader.number("timeout_s", objective_s * 2),
         deadline_s=reader.number("deadline_s", objective_s * 4),
         rank=reader.integer("rank", 0),
-        worth=reader.number("worth", 1.0),
-        late_worth=reader.number("late_worth", 0.3),
-        returns=reader.integer("returns", 1),
-        safe=reader.flag("safe", True),
+        value=reader.number("worth", 1.0),
+        late_value=reader.number("late_worth", 0.3),
+        max_retries=reader.integer("returns", 1),
+        idempotent=reader.flag("safe", True),
         calls=tuple(_call(reader, call) for call in reader.items("calls")),
     )
     reader.finish()
@@ -164,9 +170,9 @@
     reader = FieldReader(row, root.path("changes"))
     change = Change(
         kind=reader.text("kind"),
-        at_s=reader.number("at_s", 0.0),
-        for_s=reader.number("for_s", 5.0),
-        x=reader.number("x", 1.0),
+        start_s=reader.number("at_s", 0.0),
+        duration_s=reader.number("for_s", 5.0),
+        magnitude=reader.number("x", 1.0),
         service=reader.raw("service", ""),
         targets=reader.integer("targets", 1),
     )
--- a/packages/devtools/src/pearward_devtools/experiment/plot.py
+++ b/packages/devtools/src/pearward_devtools/experiment/plot.py
@@ -1,6 +1,6 @@
-"""``make plot``: draws one pattern's run, by second of the callers' first tries, to a PNG file.
+"""``make plot``: plot the results of one pattern as a PNG file, by second of the first try.
 
-Needs the extra ``plot`` of this package, which the tests do not install.
+Requires the extra ``plot`` of this package, which the test environment does not install.
 """
 
 from pathlib import Path
@@ -15,13 +15,13 @@
 
 __all__ = ["main"]
 
-ROWS = ("asked", "in time", "late", "not served")
+SERIES = ("asked", "in time", "late", "not served")
 COLOURS = ("black", "tab:green", "tab:orange", "tab:red")
 
 
 def _draw(axes: object, tally: Tally, title: str) -> None:
     seconds = sorted(tally.seconds)
-    for number, (name, colour) in enumerate(zip(ROWS, COLOURS, strict=True)):
+    for number, (name, colour) in enumerate(zip(SERIES, COLOURS, strict=True)):
         values = [tally.seconds[second][number] for second in seconds]
         axes.plot(seconds, values, label=name, color=colour)  # type: ignore[attr-defined]
     axes.set_title(f"{title}: credit {tally.credit:.3f}")  # type: ignore[attr-defined]
@@ -33,7 +33,7 @@
 @click.option("--seed", default=1, show_default=True)
 @click.option("--out", type=click.Path(path_type=Path), help="file; target/NAME.png by default")
 def main(name: str, seed: int, out: Path | None) -> None:
-    """Draw a pattern with all mechanisms on, and with all of them off."""
+    """Plot a pattern with all mechanisms enabled, and with all of them disabled."""
     try:
         from matplotlib import pyplot
     except ImportError as error:
