--- a/packages/devtools/src/pearward_devtools/bench/__init__.py
+++ b/packages/devtools/src/pearward_devtools/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements; each group prints one JSON object a line."""
+"""Benchmarks; each group prints its measurements as one JSON object per line."""
--- a/packages/devtools/src/pearward_devtools/bench/__main__.py
+++ b/packages/devtools/src/pearward_devtools/bench/__main__.py
@@ -1,4 +1,4 @@
-"""``make bench``: run the groups of measurements, or one of them."""
+"""``make bench``: run all groups of measurements, or one of them."""
 
 import importlib
 
@@ -8,9 +8,9 @@
 
 
 @click.command()
-@click.option("--only", type=click.Choice(GROUPS), help="One group alone.")
+@click.option("--only", type=click.Choice(GROUPS), help="Run only this group.")
 def main(only: str | None) -> None:
-    """Measure; one JSON object a line: name, value, unit, baseline."""
+    """Print the measurements, one JSON object per line: name, value, unit, baseline."""
     for group in (only,) if only else GROUPS:
         importlib.import_module(f"pearward_devtools.bench.{group}").run()
 
--- a/packages/devtools/src/pearward_devtools/bench/faults.py
+++ b/packages/devtools/src/pearward_devtools/bench/faults.py
@@ -1,4 +1,4 @@
-"""Unavailable time of keys and churn, fault by fault, with real processes."""
+"""Unavailable time of keys and number of moved shards for each fault, with real processes."""
 
 import threading
 import time
@@ -19,51 +19,51 @@
 SERVERS = 8
 KEYS_PER_NODE = 3
 DEADLINE_MS = 4000
-WATCH_S = 4.0
+OBSERVATION_S = 4.0
 
 
 @dataclass
 class _Probe:
-    """One key that is asked for again and again."""
+    """Results of the repeated requests for one key; times in seconds."""
 
     key: str
     gaps: list[float] = field(default_factory=list)
     failed: int = 0
-    asked: int = 0
+    sent: int = 0
 
 
 class _Probes:
-    """Asks for keys through daemons that live, and notes how long each stays unanswered."""
+    """Sends requests for keys through running daemons and records the time between responses."""
 
     def __init__(self, keys: list[str], addresses: list[str]) -> None:
         self._addresses = addresses
         self._stop = threading.Event()
         self.probes = [_Probe(key) for key in keys]
         self._threads = [
-            threading.Thread(target=self._work, args=(probe, number), daemon=True)
+            threading.Thread(target=self._send_requests, args=(probe, number), daemon=True)
             for number, probe in enumerate(self.probes)
         ]
         for thread in self._threads:
             thread.start()
 
     def stop(self) -> list[_Probe]:
-        """End and return what was seen."""
+        """Stop the threads and return the results."""
         self._stop.set()
         for thread in self._threads:
             thread.join()
         return self.probes
 
-    def _work(self, probe: _Probe, number: int) -> None:
+    def _send_requests(self, probe: _Probe, number: int) -> None:
         caller = Caller(DEADLINE_MS / 1000 + 5)
         address = self._addresses[number % len(self._addresses)]
         last = time.monotonic()
         while not self._stop.is_set():
-            probe.asked += 1
+            probe.sent += 1
             try:
-                answer = caller.call(
+                response = caller.call(
                     address, SERVICE, probe.key, headers={"Pearward-Deadline-Ms": str(DEADLINE_MS)}
                 )
-                served = answer.outcome == "served"
+                served = response.outcome == "served"
             except OSError:
                 served = False
             now = time.monotonic()
@@ -75,39 +75,44 @@
             time.sleep(0.005)
 
 
-def _calls(cluster: Cluster) -> int:
+def _platform_calls(cluster: Cluster) -> int:
     counts = cluster.platform_counts()
     waiting = counts.pop("watches_waiting", 0)
     return sum(counts.values()) + waiting
 
 
 def _measure(
-    cluster: Cluster, name: str, victims: list[Node], act: Callable[[], None], *, least: int
+    cluster: Cluster,
+    name: str,
+    affected: list[Node],
+    inject_fault: Callable[[], None],
+    *,
+    min_moved: int,
 ) -> None:
-    """Do one fault and print what it cost; *least* is the fewest shards that must move."""
-    keys = [key for victim in victims for key in keys_of(cluster, victim, KEYS_PER_NODE)]
-    living = [n.caller for n in cluster.nodes if n not in victims]
-    probes = _Probes(keys, living)
+    """Inject a fault and print its effects; *min_moved* is the fewest shards that must move."""
+    keys = [key for owner in affected for key in keys_of(cluster, owner, KEYS_PER_NODE)]
+    callers = [n.caller for n in cluster.nodes if n not in affected]
+    probes = _Probes(keys, callers)
     time.sleep(0.5)
-    before, calls = cluster.placements(SERVICE), _calls(cluster)
-    act()
-    time.sleep(WATCH_S)
+    before, calls = cluster.placements(SERVICE), _platform_calls(cluster)
+    inject_fault()
+    time.sleep(OBSERVATION_S)
     seen = probes.stop()
     after = cluster.placements(SERVICE)
     moved = sum(after.get(start) != server for start, server in before.items())
-    gaps = [max(p.gaps, default=WATCH_S) for p in seen]
+    gaps = [max(p.gaps, default=OBSERVATION_S) for p in seen]
     emit(f"unavailable_{name}_p50_s", median(gaps), "s", 2.0)
     emit(f"unavailable_{name}_max_s", max(gaps), "s", 2.0)
     emit(f"failed_{name}", sum(p.failed for p in seen), "requests", 0)
-    if least:
-        emit(f"shards_moved_ratio_{name}", moved / least, "ratio", 1.0)
+    if min_moved:
+        emit(f"shards_moved_ratio_{name}", moved / min_moved, "ratio", 1.0)
     else:
         emit(f"shards_moved_{name}", moved, "shards", 0)
-    emit(f"platform_calls_{name}", _calls(cluster) - calls, "calls")
+    emit(f"platform_calls_{name}", _platform_calls(cluster) - calls, "calls")
 
 
 def _recover(cluster: Cluster) -> None:
-    """Bring everything back."""
+    """Restart or resume all daemons and servers, and wait until every server owns shards."""
     for node in cluster.nodes:
         cluster.resume(node)
         if node.server_process is None:
@@ -145,71 +150,73 @@
             cluster.kill_server(node)
 
 
-def _quick_faults(cluster: Cluster) -> None:
-    """Every fault under the quick policy."""
+def _measure_quick_policy(cluster: Cluster) -> None:
+    """Measure the faults of daemons, servers and a failure domain under the quick policy."""
     for name, daemon, server in (
         ("daemon_kill", True, False),
         ("server_kill", False, True),
         ("both_kill", True, True),
     ):
-        leader = _coordinator(cluster)
-        victims = [next(n for n in cluster.nodes if n is not leader)]
-        least = _owned(cluster, victims)
+        coordinator = _coordinator(cluster)
+        affected = [next(n for n in cluster.nodes if n is not coordinator)]
+        min_moved = _owned(cluster, affected)
         _measure(
-            cluster, name, victims,
-            lambda v=victims, d=daemon, s=server: _kill(cluster, v, daemon=d, server=s),  # type: ignore[misc]
-            least=least,
+            cluster, name, affected,
+            lambda v=affected, d=daemon, s=server: _kill(cluster, v, daemon=d, server=s),  # type: ignore[misc]
+            min_moved=min_moved,
         )  # fmt: skip
         _recover(cluster)
-    leader = _coordinator(cluster)
+    coordinator = _coordinator(cluster)
     _measure(
-        cluster, "coordinator_kill", [leader],
-        lambda: _kill(cluster, [leader], daemon=True, server=False),
-        least=_owned(cluster, [leader]),
+        cluster, "coordinator_kill", [coordinator],
+        lambda: _kill(cluster, [coordinator], daemon=True, server=False),
+        min_moved=_owned(cluster, [coordinator]),
     )  # fmt: skip
     _recover(cluster)
     domain = _coordinator(cluster).failure_domain
-    victims = [n for n in cluster.nodes if n.failure_domain == domain]
+    affected = [n for n in cluster.nodes if n.failure_domain == domain]
     _measure(
-        cluster, "domain_kill", victims,
-        lambda: _kill(cluster, victims, daemon=True, server=True),
-        least=_owned(cluster, victims),
+        cluster, "domain_kill", affected,
+        lambda: _kill(cluster, affected, daemon=True, server=True),
+        min_moved=_owned(cluster, affected),
     )  # fmt: skip
     _recover(cluster)
     frozen = next(n for n in cluster.nodes if n is not _coordinator(cluster))
     _measure(
         cluster, "daemon_freeze", [frozen], lambda: cluster.freeze(frozen),
-        least=_owned(cluster, [frozen]),
+        min_moved=_owned(cluster, [frozen]),
     )  # fmt: skip
     _recover(cluster)
 
 
-def _stop(cluster: Cluster, node: Node) -> None:
+def _stop_daemon(cluster: Cluster, node: Node) -> None:
     cluster.terminate_daemon(node).wait(60)
 
 
-def _planned(cluster: Cluster) -> None:
-    """A planned stop, and a daemon that is killed and returns."""
+def _measure_planned_stop(cluster: Cluster) -> None:
+    """Measure the planned stop of a daemon."""
     node = next(n for n in cluster.nodes if n is not _coordinator(cluster))
-    least = _owned(cluster, [node])
-    _measure(cluster, "planned_stop", [node], lambda: _stop(cluster, node), least=least)
+    min_moved = _owned(cluster, [node])
+    _measure(
+        cluster, "planned_stop", [node], lambda: _stop_daemon(cluster, node), min_moved=min_moved
+    )
     _recover(cluster)
 
 
-def _idle(cluster: Cluster) -> None:
-    before = _calls(cluster)
+def _measure_idle(cluster: Cluster) -> None:
+    before = _platform_calls(cluster)
     time.sleep(6.0)
-    emit("platform_calls_idle", (_calls(cluster) - before) * 10, "calls/min")
+    emit("platform_calls_idle", (_platform_calls(cluster) - before) * 10, "calls/min")
 
 
 def run() -> None:
-    """Run the group."""
+    """Run all measurements of this group."""
     quick = ServiceSpec(SERVICE, "keyed", SERVERS, {"policy": "quick"})
     with Cluster([quick], DOMAINS) as cluster:
         cluster.start()
-        _idle(cluster)
-        _quick_faults(cluster)
-        _planned(cluster)
+        _measure_idle(cluster)
+        _measure_quick_policy(cluster)
+        _measure_planned_stop(cluster)
     patient = ServiceSpec(SERVICE, "keyed", 4, {"policy": "patient", "wait_return_s": 8.0})
     with Cluster([patient], DOMAINS) as cluster:
         cluster.start()
@@ -219,4 +226,4 @@
             cluster.kill_daemon(node)
             cluster.start_daemon(node)
 
-        _measure(cluster, "patient_restart", [node], restart, least=0)
+        _measure(cluster, "patient_restart", [node], restart, min_moved=0)
--- a/packages/devtools/src/pearward_devtools/bench/path.py
+++ b/packages/devtools/src/pearward_devtools/bench/path.py
@@ -1,4 +1,4 @@
-"""The request path: throughput, added latency, memory and processor time by leg."""
+"""Throughput, added latency, memory and processor time of the request path, by leg."""
 
 import json
 import subprocess
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True)
 class _Load:
-    """The sum of some load generators."""
+    """Combined results of several load generators."""
 
     rps: float
     p50_ms: float
@@ -43,8 +43,8 @@
 
 
 @dataclass(frozen=True)
-class _Scene:
-    """Who plays which part."""
+class _Setup:
+    """The cluster, its ingress and owner daemons, and the keys of the owner."""
 
     cluster: Cluster
     ingress: Node
@@ -53,12 +53,12 @@
 
     @property
     def headers(self) -> list[str]:
-        """Headers of every request."""
+        """Headers of every request, as ``NAME=VALUE``."""
         return [f"Pearward-Service={SERVICE}"]
 
 
 def keys_of(cluster: Cluster, node: Node, count: int) -> list[str]:
-    """Return keys that a node's server owns."""
+    """Return *count* keys that a node's server owns."""
     record = cluster.record(node.service)
     assert record is not None
     seed = service_seed(node.service)
@@ -73,18 +73,18 @@
     return found
 
 
-def _generate(
-    scene: _Scene, target: str, *, path: str = "/standin/plain", rate: float = 0.0,
+def _run_generators(
+    setup: _Setup, target: str, *, path: str = "/standin/plain", rate: float = 0.0,
     generators: int = GENERATORS, workers: int = 32, seconds: float = SECONDS,
 ) -> _Load:  # fmt: skip
-    """Run load generators side by side and add them up."""
+    """Run load generators in parallel and combine their results."""
     command = [
         sys.executable, "-m", "pearward_devtools.loadgen", "--target", target, "--path", path,
         "--workers", str(workers), "--seconds", str(seconds), "--rate", str(rate / generators),
     ]  # fmt: skip
-    for header in scene.headers:
+    for header in setup.headers:
         command += ["--header", header]
-    for key in scene.keys:
+    for key in setup.keys:
         command += ["--key", key]
     processes = [subprocess.Popen(command, stdout=subprocess.PIPE) for _ in range(generators)]
     rows: list[dict[str, Any]] = [json.loads(p.communicate()[0]) for p in processes]
@@ -99,17 +99,17 @@
     )
 
 
-def _process(node: Node) -> psutil.Process:
+def _daemon_process(node: Node) -> psutil.Process:
     assert node.daemon is not None
     return psutil.Process(node.daemon.pid)
 
 
 def _rss_mb(node: Node) -> float:
-    return _process(node).memory_info().rss / MIB
+    return _daemon_process(node).memory_info().rss / MIB
 
 
 def _cpu_s(node: Node) -> float:
-    times = _process(node).cpu_times()
+    times = _daemon_process(node).cpu_times()
     return float(times.user + times.system)
 
 
@@ -119,26 +119,27 @@
     return float(times.user + times.system)
 
 
-def _throughput(scene: _Scene) -> float:
-    """Measure requests a second as fast as possible: direct, local and over one hop.
+def _measure_throughput(setup: _Setup) -> float:
+    """Measure the maximum request rate: direct, local and over one hop; return the last.
 
-    The three take turns and the medians of the ratios count, since the machine's speed
-    drifts. Processor time a request is given beside the stand-in server's own.
+    The three are measured in turn in each round, and the ratios are medians over the rounds,
+    because the machine's speed drifts. The baseline of the processor time per request is that
+    of the stand-in server.
     """
     rounds: list[tuple[float, float, float]] = []
     cpu: dict[str, list[float]] = {"direct": [], "local": [], "ingress": [], "owner": []}
     errors = 0
     for _ in range(ROUNDS):
-        before = _server_cpu_s(scene.owner)
-        direct = _generate(scene, scene.owner.server_address, seconds=ROUND_S)
-        cpu["direct"].append((_server_cpu_s(scene.owner) - before) / direct.count)
-        before = _cpu_s(scene.owner)
-        local = _generate(scene, scene.owner.caller, seconds=ROUND_S)
-        cpu["local"].append((_cpu_s(scene.owner) - before) / local.count)
-        before_in, before = _cpu_s(scene.ingress), _cpu_s(scene.owner)
-        onehop = _generate(scene, scene.ingress.caller, seconds=ROUND_S)
-        cpu["ingress"].append((_cpu_s(scene.ingress) - before_in) / onehop.count)
-        cpu["owner"].append((_cpu_s(scene.owner) - before) / onehop.count)
+        before = _server_cpu_s(setup.owner)
+        direct = _run_generators(setup, setup.owner.server_address, seconds=ROUND_S)
+        cpu["direct"].append((_server_cpu_s(setup.owner) - before) / direct.count)
+        before = _cpu_s(setup.owner)
+        local = _run_generators(setup, setup.owner.caller, seconds=ROUND_S)
+        cpu["local"].append((_cpu_s(setup.owner) - before) / local.count)
+        before_in, before = _cpu_s(setup.ingress), _cpu_s(setup.owner)
+        onehop = _run_generators(setup, setup.ingress.caller, seconds=ROUND_S)
+        cpu["ingress"].append((_cpu_s(setup.ingress) - before_in) / onehop.count)
+        cpu["owner"].append((_cpu_s(setup.owner) - before) / onehop.count)
         rounds.append((direct.rps, local.rps, onehop.rps))
         errors += direct.errors + local.errors + onehop.errors
     direct_rps = median(r[0] for r in rounds)
@@ -155,19 +156,19 @@
     return onehop_rps
 
 
-def _added_latency(scene: _Scene, rate: float) -> None:
-    """Measure latency at half load beside a direct call at the same rate, in turns."""
+def _measure_added_latency(setup: _Setup, rate: float) -> None:
+    """Measure the latency added to that of direct calls, at half load and in turn."""
     targets = {
-        "direct": scene.owner.server_address,
-        "local": scene.owner.caller,
-        "onehop": scene.ingress.caller,
+        "direct": setup.owner.server_address,
+        "local": setup.owner.caller,
+        "onehop": setup.ingress.caller,
     }
     p50: dict[str, list[float]] = {name: [] for name in targets}
     p99: dict[str, list[float]] = {name: [] for name in targets}
     for _ in range(LATENCY_ROUNDS):
         for name, target in targets.items():
-            load = _generate(
-                scene, target, rate=rate, generators=2, workers=24, seconds=LATENCY_ROUND_S
+            load = _run_generators(
+                setup, target, rate=rate, generators=2, workers=24, seconds=LATENCY_ROUND_S
             )
             p50[name].append(load.p50_ms)
             p99[name].append(load.p99_ms)
@@ -179,74 +180,77 @@
 
 
 @dataclass(frozen=True)
-class _Watched:
-    """One load generator's result, and how far each daemon's memory rose meanwhile."""
+class _MemoryResult:
+    """Result of one load generator, and the growth of each daemon's memory during its run."""
 
     row: dict[str, Any]
     ingress_mb: float
     owner_mb: float
 
 
-def _watch_memory(scene: _Scene, command: list[str]) -> _Watched:
-    """Run a load generator and watch both daemons' memory."""
-    before = (_rss_mb(scene.ingress), _rss_mb(scene.owner))
+def _run_with_memory(setup: _Setup, command: list[str]) -> _MemoryResult:
+    """Run a load generator and record the peak memory of both daemons."""
+    before = (_rss_mb(setup.ingress), _rss_mb(setup.owner))
     peak = list(before)
     process = subprocess.Popen(command, stdout=subprocess.PIPE)
     while process.poll() is None:
-        peak[0] = max(peak[0], _rss_mb(scene.ingress))
-        peak[1] = max(peak[1], _rss_mb(scene.owner))
+        peak[0] = max(peak[0], _rss_mb(setup.ingress))
+        peak[1] = max(peak[1], _rss_mb(setup.owner))
         time.sleep(0.02)
     assert process.stdout is not None
     row = json.loads(process.stdout.read())
-    return _Watched(row, peak[0] - before[0], peak[1] - before[1])
+    return _MemoryResult(row, peak[0] - before[0], peak[1] - before[1])
 
 
-def _one_key_command(scene: _Scene, path: str, workers: int, seconds: float) -> list[str]:
-    """Return the load generator's command for one key through the ingress."""
+def _generator_command(setup: _Setup, path: str, workers: int, seconds: float) -> list[str]:
+    """Return the command of a load generator that requests one key through the ingress."""
     return [
-        sys.executable, "-m", "pearward_devtools.loadgen", "--target", scene.ingress.caller,
+        sys.executable, "-m", "pearward_devtools.loadgen", "--target", setup.ingress.caller,
         "--path", path, "--workers", str(workers), "--seconds", str(seconds),
-        "--header", scene.headers[0], "--key", scene.keys[0],
+        "--header", setup.headers[0], "--key", setup.keys[0],
     ]  # fmt: skip
 
 
-def _streaming(scene: _Scene) -> None:
-    """Stream a gigabyte through two daemons and watch their memory."""
-    command = _one_key_command(scene, f"/download?bytes={STREAM_BYTES}", 1, 0.01)
-    watched = _watch_memory(scene, command)
-    row = watched.row
-    command[command.index(scene.ingress.caller)] = scene.owner.server_address
+def _measure_streaming(setup: _Setup) -> None:
+    """Measure throughput and memory growth while two daemons stream 1 GiB."""
+    command = _generator_command(setup, f"/download?bytes={STREAM_BYTES}", 1, 0.01)
+    result = _run_with_memory(setup, command)
+    row = result.row
+    command[command.index(setup.ingress.caller)] = setup.owner.server_address
     direct = json.loads(subprocess.run(command, capture_output=True, check=True).stdout)
     emit("stream_bytes_short", STREAM_BYTES - row["bytes"], "bytes", 0)
-    emit("stream_rss_growth_mb", max(watched.ingress_mb, watched.owner_mb), "MB", 16)
+    emit("stream_rss_growth_mb", max(result.ingress_mb, result.owner_mb), "MB", 16)
     rate = row["bytes"] / row["seconds"] / MIB
     emit("stream_mb_s", rate, "MB/s", direct["bytes"] / direct["seconds"] / MIB)
 
 
-def _open_streams(scene: _Scene) -> None:
-    """Hold many requests open at once and see what each costs in memory."""
-    watched = _watch_memory(scene, _one_key_command(scene, "/work?work_ms=4000", OPEN_STREAMS, 1.0))
-    emit("open_streams_errors", watched.row["errors"], "requests", 0)
-    per = 1000 / OPEN_STREAMS
-    emit("rss_ingress_per_1000_streams_mb", watched.ingress_mb * per, "MB")
-    emit("rss_owner_per_1000_streams_mb", watched.owner_mb * per, "MB")
+def _measure_open_streams(setup: _Setup) -> None:
+    """Measure the memory that concurrently open requests take in each daemon."""
+    result = _run_with_memory(
+        setup, _generator_command(setup, "/work?work_ms=4000", OPEN_STREAMS, 1.0)
+    )
+    emit("open_streams_errors", result.row["errors"], "requests", 0)
+    per_thousand = 1000 / OPEN_STREAMS
+    emit("rss_ingress_per_1000_streams_mb", result.ingress_mb * per_thousand, "MB")
+    emit("rss_owner_per_1000_streams_mb", result.owner_mb * per_thousand, "MB")
 
 
 def run() -> None:
-    """Run the group."""
+    """Run all measurements of this group."""
     spec = ServiceSpec(SERVICE, "keyed", 3, server_fields={"slots": 2000, "connections": 4000})
     settings = {"limits": {"queue": 4000}}
     with Cluster([spec], ["a", "b", "c"], settings=settings) as cluster:
         cluster.start()
         ingress, owner = cluster.nodes[0], cluster.nodes[1]
-        scene = _Scene(cluster, ingress, owner, keys_of(cluster, owner, 20))
+        setup = _Setup(cluster, ingress, owner, keys_of(cluster, owner, 20))
         time.sleep(1.0)
         emit("rss_idle_mb", _rss_mb(owner), "MB", 64)
         before = _cpu_s(owner)
         time.sleep(4.0)
         emit("cpu_idle_percent", (_cpu_s(owner) - before) / 4.0 * 100, "% of a core", 2.9)
-        # Memory first: what load leaves to the allocator would hide what streams take.
-        _open_streams(scene)
-        _streaming(scene)
-        onehop_rps = _throughput(scene)
-        _added_latency(scene, onehop_rps / 2)
+        # Memory is measured first: memory that the allocator keeps after load would hide the
+        # growth that open streams cause.
+        _measure_open_streams(setup)
+        _measure_streaming(setup)
+        onehop_rps = _measure_throughput(setup)
+        _measure_added_latency(setup, onehop_rps / 2)
--- a/packages/devtools/src/pearward_devtools/bench/slopes.py
+++ b/packages/devtools/src/pearward_devtools/bench/slopes.py
@@ -1,7 +1,7 @@
-"""What control costs a daemon as servers and shards grow.
+"""Cost of the control protocol per daemon, by number of servers and shards.
 
-Many daemons' cores in one process, on a virtual clock, with every message through the
-real codec; processor time is the process's own over virtual seconds.
+The protocol cores of many daemons run in one process on a virtual clock, and every message
+passes the real codec. Processor time is that of the process per virtual second.
 """
 
 import gc
@@ -32,7 +32,7 @@
 
 
 class _Cell:
-    """All cores of one cell."""
+    """The protocol cores of all daemons of one cell."""
 
     def __init__(self, servers: int, shards: int) -> None:
         rows = {
@@ -48,61 +48,63 @@
         self.bytes = self.messages = 0
         for i in range(servers):
             address = f"10.0.{i // 250}.{i % 250}:7401"
-            me = PeerId(f"{i:016x}", address)
-            joiner = Joiner(me.incarnation, f"i{i}", f"s{i}", f"d{i % DOMAINS}", address, address)
-            agent = CellAgent(me, joiner, CELL, self._timing)
+            peer_id = PeerId(f"{i:016x}", address)
+            joiner = Joiner(
+                peer_id.incarnation, f"i{i}", f"s{i}", f"d{i % DOMAINS}", address, address
+            )
+            agent = CellAgent(peer_id, joiner, CELL, self._timing)
             self._agents[address] = agent
-            self._ids[address] = me
-        self._leader = next(iter(self._agents))
-        self._core = Coordinator(CELL, self._timing, self.now)
+            self._ids[address] = peer_id
+        self._coordinator_address = next(iter(self._agents))
+        self._coordinator = Coordinator(CELL, self._timing, self.now)
         self.record = CellRecord(CELL, CELL)
         self.coordinator_s = 0.0
         for peer in self._ids.values():
-            self._core.peer_seen(peer)
+            self._coordinator.peer_seen(peer)
         for agent in self._agents.values():
-            agent.set_coordinator(self._leader)
+            agent.set_coordinator(self._coordinator_address)
 
     def run(self, seconds: float) -> None:
-        """Let virtual time pass."""
+        """Advance the virtual clock by *seconds*."""
         for _ in range(int(seconds / TICK_S)):
             self.now += TICK_S
             for address, agent in self._agents.items():
-                self._act(address, agent.tick(self.now))
+                self._execute(address, agent.tick(self.now))
             self._deliver()
-            self._decide()
+            self._plan()
             self._deliver()
 
-    def lose(self, address: str) -> None:
-        """End one daemon."""
+    def remove(self, address: str) -> None:
+        """Remove one daemon, as if it had been killed."""
         del self._agents[address]
 
     @property
     def addresses(self) -> list[str]:
-        """The daemons that live, the coordinator's first."""
+        """Addresses of the running daemons, the coordinator's first."""
         return list(self._agents)
 
-    def _decide(self) -> None:
-        began = time.process_time()
-        planned = self._core.plan(self.record, self._table, f"w{self.now}", self.now)
-        self.coordinator_s += time.process_time() - began
+    def _plan(self) -> None:
+        started_s = time.process_time()
+        planned = self._coordinator.plan(self.record, self._table, f"w{self.now}", self.now)
+        self.coordinator_s += time.process_time() - started_s
         if planned is None:
             return
         self.record = planned
         value = planned.to_bytes()
-        leader = self._agents[self._leader]
-        self._act(self._leader, leader.adopt(planned, value, self.now))
+        coordinator_agent = self._agents[self._coordinator_address]
+        self._execute(self._coordinator_address, coordinator_agent.adopt(planned, value, self.now))
         push = Push(f"cell/{CELL}", planned.version, value)
         for address in self._agents:
-            if address != self._leader:
-                self._send(self._leader, address, push)
+            if address != self._coordinator_address:
+                self._send(self._coordinator_address, address, push)
 
-    def _act(self, address: str, actions: list[Action]) -> None:
+    def _execute(self, address: str, actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, Send):
                 self._send(address, action.address, action.message)
             elif isinstance(action, GrantServer):
                 agent = self._agents[address]
-                self._act(address, agent.server_granted(action, True, self.now))
+                self._execute(address, agent.server_granted(action, True, self.now))
 
     def _send(self, source: str, target: str, message: ControlMessage) -> None:
         payload = encode_control(message)
@@ -119,46 +121,48 @@
                 continue
             message = decode_control(payload)
             if isinstance(message, Heartbeat):
-                began = time.process_time()
-                reply = self._core.on_heartbeat(sender, message, self.record.version, self.now)
-                self.coordinator_s += time.process_time() - began
+                started_s = time.process_time()
+                reply = self._coordinator.on_heartbeat(
+                    sender, message, self.record.version, self.now
+                )
+                self.coordinator_s += time.process_time() - started_s
                 self._send(target, sender.address, reply)
             elif isinstance(message, Push):
                 record = CellRecord.from_bytes(message.value)
-                self._act(target, agent.adopt(record, message.value, self.now))
+                self._execute(target, agent.adopt(record, message.value, self.now))
             else:
-                self._act(target, agent.receive(sender, message, self.now))
+                self._execute(target, agent.receive(sender, message, self.now))
 
 
 def measure_cell(servers: int, shards: int) -> None:
-    """Measure one size and print it."""
+    """Measure a cell with *servers* servers and *shards* shards per server, and print it."""
     gc.collect()
     rss = psutil.Process().memory_info().rss
     cell = _Cell(servers, shards)
     cell.run(3.0)
-    grown = psutil.Process().memory_info().rss - rss
+    rss_growth = psutil.Process().memory_info().rss - rss
     cell.bytes = cell.messages = 0
     cell.coordinator_s = 0.0
-    began = time.process_time()
+    started_s = time.process_time()
     cell.run(VIRTUAL_S)
-    cpu = time.process_time() - began - cell.coordinator_s
+    cpu = time.process_time() - started_s - cell.coordinator_s
     name = f"{servers}x{shards}"
     emit(f"control_cpu_percent_{name}", cpu / servers / VIRTUAL_S * 100, "% of a core", 2.9)
     emit(f"control_bytes_per_s_{name}", cell.bytes / servers / VIRTUAL_S, "B/s", 23_000)
     emit(f"control_messages_per_s_{name}", cell.messages / servers / VIRTUAL_S, "1/s")
     emit(f"coordinator_cpu_percent_{name}", cell.coordinator_s / VIRTUAL_S * 100, "% of a core")
     emit(f"record_bytes_{name}", len(cell.record.to_bytes()), "bytes", 1_000_000)
-    emit(f"core_kb_per_daemon_{name}", grown / servers / 1024, "KB")
+    emit(f"core_kb_per_daemon_{name}", rss_growth / servers / 1024, "KB")
     before, cell.bytes = cell.record.version, 0
-    cell.lose(cell.addresses[-1])
-    began = time.process_time()
+    cell.remove(cell.addresses[-1])
+    started_s = time.process_time()
     cell.run(2.0)
     emit(f"loss_record_writes_{name}", cell.record.version - before, "writes")
     emit(f"loss_bytes_per_daemon_{name}", cell.bytes / servers, "bytes")
-    emit(f"loss_cpu_ms_per_daemon_{name}", (time.process_time() - began) / servers * 1000, "ms")
+    emit(f"loss_cpu_ms_per_daemon_{name}", (time.process_time() - started_s) / servers * 1000, "ms")
 
 
 def run() -> None:
-    """Run the group."""
+    """Run all measurements of this group."""
     for servers, shards in SIZES:
         measure_cell(servers, shards)
