--- a/packages/devtools/src/pearward_devtools/bench/faults.py
+++ b/packages/devtools/src/pearward_devtools/bench/faults.py
@@ -20,6 +20,7 @@
 KEYS_PER_NODE = 3
 DEADLINE_MS = 4000
 OBSERVATION_S = 4.0
+"""Seconds for which the probes continue after a fault."""
 
 
 @dataclass
@@ -89,21 +90,24 @@
     *,
     min_moved: int,
 ) -> None:
-    """Inject a fault and print its effects; *min_moved* is the fewest shards that must move."""
+    """Inject a fault and print its effects.
+
+    *min_moved* is the smallest number of shards that the fault forces to move; 0 if none.
+    """
     keys = [key for owner in affected for key in keys_of(cluster, owner, KEYS_PER_NODE)]
-    callers = [n.caller for n in cluster.nodes if n not in affected]
-    probes = _Probes(keys, callers)
+    caller_addresses = [n.caller for n in cluster.nodes if n not in affected]
+    probes = _Probes(keys, caller_addresses)
     time.sleep(0.5)
     before, calls = cluster.placements(SERVICE), _platform_calls(cluster)
     inject_fault()
     time.sleep(OBSERVATION_S)
-    seen = probes.stop()
+    results = probes.stop()
     after = cluster.placements(SERVICE)
     moved = sum(after.get(start) != server for start, server in before.items())
-    gaps = [max(p.gaps, default=OBSERVATION_S) for p in seen]
+    gaps = [max(p.gaps, default=OBSERVATION_S) for p in results]
     emit(f"unavailable_{name}_p50_s", median(gaps), "s", 2.0)
     emit(f"unavailable_{name}_max_s", max(gaps), "s", 2.0)
-    emit(f"failed_{name}", sum(p.failed for p in seen), "requests", 0)
+    emit(f"failed_{name}", sum(p.failed for p in results), "requests", 0)
     if min_moved:
         emit(f"shards_moved_ratio_{name}", moved / min_moved, "ratio", 1.0)
     else:
@@ -121,7 +125,9 @@
         if node.daemon is None:
             cluster.start_daemon(node)
     cluster.wait_ready()
-    wait_until(lambda: len(set(cluster.placements(SERVICE).values())) == SERVERS, "shares for all")
+    wait_until(
+        lambda: len(set(cluster.placements(SERVICE).values())) == SERVERS, "shards at every server"
+    )
     time.sleep(0.5)
 
 
@@ -151,7 +157,7 @@
 
 
 def _measure_quick_policy(cluster: Cluster) -> None:
-    """Measure the faults of daemons, servers and a failure domain under the quick policy."""
+    """Measure kills of daemons, servers and a failure domain, and a freeze, under policy quick."""
     for name, daemon, server in (
         ("daemon_kill", True, False),
         ("server_kill", False, True),
