--- a/packages/coordination/src/pearward_coordination/grants.py
+++ b/packages/coordination/src/pearward_coordination/grants.py
@@ -42,7 +42,7 @@
 MIN_HOLD_S = 0.3
 """Minimum seconds of a hold; a shorter one is not granted."""
 MAX_TOKENS = 256
-"""Number of handoff tokens kept for replies to later requests; the oldest are dropped first."""
+"""Number of handover tokens kept for replies to later requests; the oldest are dropped first."""
 HEARTBEAT_TRANSIT_S = 0.1
 """Seconds before the receipt of its heartbeat at which a hold is assumed to have started."""
 GRANT_TRANSIT_S = 0.008
@@ -70,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleasedRow:
-    """Keys that a target has released, with the handoff token for its warm state."""
+    """Keys that a target has released, with the handover token for its warm state."""
 
     first: int
     last: int
@@ -85,7 +85,7 @@
     last: int
     fence: int
     token: str
-    """Handoff token of the former holder; empty if there is none."""
+    """Handover token of the former holder; empty if there is none."""
 
 
 class GrantManager:
--- a/packages/daemon/src/pearward_daemon/mesh/dialect.py
+++ b/packages/daemon/src/pearward_daemon/mesh/dialect.py
@@ -136,7 +136,7 @@
     released: bool
     """Whether the target no longer holds the keys and no request runs on them."""
     token: str = ""
-    """Handoff token by which the next holder gets the keys' warm state."""
+    """Handover token by which the next holder gets the keys' warm state."""
     detail: str = ""
     """The reason why the keys are not known to be released."""
 
--- a/packages/state/src/pearward_state/routes.py
+++ b/packages/state/src/pearward_state/routes.py
@@ -72,7 +72,7 @@
     max_connections: int
     """Maximum number of connections that a target accepts from all callers together."""
     warmup_s: float
-    """Seconds for which a key is slow at a target that received it without a handoff token."""
+    """Seconds for which a key is slow at a target that received it without a handover token."""
     cold_per_s: float = 0.0
     """Requests per second that a target can serve while it is cold; 0 if not configured."""
 
