--- a/features/steps/mesh_drain_steps.py
+++ b/features/steps/mesh_drain_steps.py
@@ -1,4 +1,4 @@
-"""Steps of drained failure domains and cold targets, with real processes."""
+"""Steps for drained failure domains and cold targets, with real processes."""
 
 import json
 import threading
@@ -15,7 +15,7 @@
 
 
 def _id(context: Any) -> str:
-    """Return a request id that was not used before."""
+    """Return an unused request id."""
     return f"d{next(context.mesh_ids)}"
 
 
@@ -37,9 +37,9 @@
 
 
 @then("no target there gets any of {count:d} requests and every key is served elsewhere")
-def nothing_there(context: Any, count: int) -> None:
-    there = _in_domain(context)
-    before = [_ran(context, node) for node in there]
+def no_requests_in_domain(context: Any, count: int) -> None:
+    drained = _in_domain(context)
+    before = [_ran(context, node) for node in drained]
     for number in range(count):
         node = context.mesh.nodes[number % len(context.mesh.nodes)]
         headers = {"Request-Id": _id(context)}
@@ -48,11 +48,11 @@
         headers = {"Request-Id": _id(context), "Shard-Key": str(key)}
         reply = context.mesh.call(context.mesh.nodes[0], f"/{KEYED}/safe/x", headers=headers)
         assert reply.status == 200, (key, reply)
-    assert [_ran(context, node) for node in there] == before
+    assert [_ran(context, node) for node in drained] == before
 
 
-@when("the drain is taken back")
-def drain_over(context: Any) -> None:
+@when("the drain is ended")
+def end_drain(context: Any) -> None:
     context.mesh.drain(context.domain, None)
 
 
@@ -65,24 +65,26 @@
     )  # fmt: skip
 
 
-@when("a target of the pooled service turns cold and {per_s:d} requests a second come for "
-      "{seconds:g} s")  # fmt: skip
-def turns_cold(context: Any, per_s: int, seconds: float) -> None:
+@when(
+    "a target of the pooled service becomes cold and {per_s:d} requests a second arrive for "
+    "{seconds:g} s"
+)
+def becomes_cold(context: Any, per_s: int, seconds: float) -> None:
     mesh = context.mesh
     context.cold = next(node for node in mesh.nodes if node.service == POOLED)
     mesh.control_target(context.cold, "cold", json.dumps({"seconds": 30.0}))
-    # Told by its next heartbeat; what it got before counts for a second more.
+    # Its next heartbeat reports it cold; earlier requests count against the limit for a second.
     time.sleep(1.5)
     context.before = _ran(context, context.cold)
     context.replies = []
 
-    def ask(number: int) -> None:
+    def send(number: int) -> None:
         node = mesh.nodes[number % len(mesh.nodes)]
         headers = {"Request-Id": _id(context)}
         reply = mesh.call(node, f"/{POOLED}/safe/x?work_ms=20", headers=headers)
         context.replies.append(reply.status)
 
-    threads = [threading.Thread(target=ask, args=(n,)) for n in range(round(per_s * seconds))]
+    threads = [threading.Thread(target=send, args=(n,)) for n in range(round(per_s * seconds))]
     for thread in threads:
         thread.start()
         time.sleep(1.0 / per_s)
@@ -91,11 +93,11 @@
 
 
 @then("it got at most {most:d} of them in any second")
-def cold_got(context: Any, most: int) -> None:
+def cold_rate_limited(context: Any, most: int) -> None:
     runs = context.mesh.state(context.cold)["ran"][context.before :]
     times = sorted(run["at"] for run in runs)
     for begin in times:
-        # The limit counts when requests are sent: one may take longer on its way than the next.
+        # The limit counts requests as they are sent, and their transit delays differ.
         within = [at for at in times if begin <= at < begin + 0.9]
         assert len(within) <= most, (len(within), times)
 
--- a/features/steps/mesh_steps.py
+++ b/features/steps/mesh_steps.py
@@ -1,4 +1,4 @@
-"""Steps with real processes of a users' platform."""
+"""Steps for daemons and targets on a users' platform, with real processes."""
 
 import json
 import signal
@@ -15,8 +15,8 @@
 from pearward_devtools.mesh.cluster import CALLERS, HOST, MeshCluster, MeshNode
 
 KEYED, POOLED = "roster", "sheets"
-SETTLED_S = 2.0
-"""Seconds without a move after which keys stay: plans that level load are 1.5 s apart."""
+STABLE_S = 2.0
+"""Seconds without a move after which keys count as stable: load balancing plans are 1.5 s apart."""
 
 
 def _cluster(context: Any) -> MeshCluster:
@@ -25,7 +25,7 @@
 
 
 def _id(context: Any) -> str:
-    """Return a request id that was not used before."""
+    """Return an unused request id."""
     return f"r{next(context.mesh_ids)}"
 
 
@@ -33,7 +33,7 @@
     return [node for node in _cluster(context).nodes if node.service == service]
 
 
-def _ask_keys(context: Any, node: MeshNode, count: int) -> list[Any]:
+def _request_keys(context: Any, node: MeshNode, count: int) -> list[Any]:
     replies = []
     for number in range(count):
         key = str(number * 65_536 // count)
@@ -42,55 +42,55 @@
     return replies
 
 
-@when("{count:d} keys are asked for at every daemon")
-def ask_everywhere(context: Any, count: int) -> None:
+@when("{count:d} keys are requested at every daemon")
+def request_everywhere(context: Any, count: int) -> None:
     context.owners = defaultdict(set)
     for node in _cluster(context).nodes:
-        for key, reply in _ask_keys(context, node, count):
+        for key, reply in _request_keys(context, node, count):
             assert reply.status == 200, (node.name, key, reply)
             context.owners[key].add(reply.headers["Target"])
 
 
-@then("each key was served by one target, at all daemons")
+@then("each key was served by the same target at all daemons")
 def one_owner(context: Any) -> None:
     assert all(len(targets) == 1 for targets in context.owners.values()), context.owners
     assert len({next(iter(targets)) for targets in context.owners.values()}) > 1
 
 
-@then("the targets saw the asking instance's service and a deadline that shrinks")
-def seen_headers(context: Any) -> None:
+@then("the targets received the requesting instance's service and a reduced deadline")
+def received_headers(context: Any) -> None:
     for node in _nodes(context, KEYED):
         ran = [r for r in _cluster(context).state(node)["ran"] if r["id"].startswith("r")]
         assert {r["caller"] for r in ran} <= {KEYED, POOLED}
         assert all(0 < int(r["deadline"]) < 2000 for r in ran)
 
 
-@then("a path of no route gets 404 and a request without an id gets 400")
+@then("a path without a route gets 404 and a request without an id gets 400")
 def no_route(context: Any) -> None:
     node = _cluster(context).nodes[0]
     assert _cluster(context).call(node, "/none/", headers={"Request-Id": "x"}).status == 404
     assert _cluster(context).call(node, f"/{POOLED}/safe/").status == 400
 
 
-@when('a "{kind}" request to the pooled service is answered "{spoil}"')
-def spoilt(context: Any, kind: str, spoil: str) -> None:
+@when('a "{kind}" request to the pooled service gets a response of the form "{form}"')
+def response_of_form(context: Any, kind: str, form: str) -> None:
     context.request_id = _id(context)
     context.reply = _cluster(context).call(
         _nodes(context, KEYED)[0],
-        f"/{POOLED}/{kind}/x?bytes=40&spoil={spoil}",
+        f"/{POOLED}/{kind}/x?bytes=40&spoil={form}",
         method="POST" if kind == "unsafe" else "GET",
         headers={"Request-Id": context.request_id},
     )
     context.expected = b"x" * 40
 
 
-@then("the caller gets {status:d} and no part of that answer")
+@then("the caller gets {status:d} and no part of that response")
 def gets_failure(context: Any, status: int) -> None:
     assert (context.reply.status, context.reply.body) == (status, b""), context.reply
 
 
-@then("the caller gets 200 and the whole answer")
-def gets_whole(context: Any) -> None:
+@then("the caller gets 200 and the complete response")
+def gets_complete_response(context: Any) -> None:
     assert context.reply.status == 200, context.reply
     assert context.reply.body == context.expected
 
@@ -106,21 +106,21 @@
     assert len(runs) == 1, runs
 
 
-@then("the answer says when to come back")
-def come_back(context: Any) -> None:
+@then("the response says when to retry")
+def says_when_to_retry(context: Any) -> None:
     assert float(context.reply.headers["Retry-After"]) > 0.0
 
 
-@when("{sent:d} bytes are sent and {back:d} bytes come back")
-def long_bodies(context: Any, sent: int, back: int) -> None:
+@when("a request of {sent:d} bytes gets a response of {returned:d} bytes")
+def long_bodies(context: Any, sent: int, returned: int) -> None:
     context.reply = _cluster(context).call(
         _nodes(context, KEYED)[0],
-        f"/{POOLED}/unsafe/x?bytes={back}",
+        f"/{POOLED}/unsafe/x?bytes={returned}",
         method="POST",
         headers={"Request-Id": _id(context)},
         body=b"y" * sent,
     )
-    context.expected = b"x" * back
+    context.expected = b"x" * returned
     runs = [r for n in _nodes(context, POOLED) for r in _cluster(context).state(n)["ran"]]
     assert str(sent) in {run["body"] for run in runs}
 
@@ -159,8 +159,8 @@
     assert context.body_bytes == context.body_expected, context.body_bytes
 
 
-@when("a caller leaves after {after:g} s of a request that runs {work:g} s")
-def leave(context: Any, after: float, work: float) -> None:
+@when("a caller disconnects {after:g} s after sending a request that runs {work:g} s")
+def disconnect(context: Any, after: float, work: float) -> None:
     node = _nodes(context, KEYED)[0]
     with socket.create_connection((node.ip, CALLERS), timeout=5) as sock:
         sock.sendall(
@@ -170,12 +170,12 @@
         time.sleep(after)
 
 
-@then("no target works on it {later:g} s later")
+@then("no target is running it {later:g} s later")
 def cancelled(context: Any, later: float) -> None:
     def running() -> int:
         return sum(_cluster(context).state(n)["running"] for n in _nodes(context, POOLED))
 
-    wait_until(lambda: running() == 0, "the target to stop working", later)
+    wait_until(lambda: running() == 0, "the target to have no running request", later)
 
 
 @when("a request that would run {work:g} s is sent")
@@ -186,13 +186,13 @@
         f"/{POOLED}/safe/x?work_ms={work * 1000:.0f}",
         headers={"Request-Id": _id(context), "Deadline-Ms": "9000"},
     )
-    context.took = time.monotonic() - began
+    context.elapsed_s = time.monotonic() - began
 
 
 @then("the caller gets 504 within {most:g} s")
 def timed_out(context: Any, most: float) -> None:
     assert context.reply.status == 504, context.reply
-    assert context.took < most, context.took
+    assert context.elapsed_s < most, context.elapsed_s
 
 
 @when('a route "{prefix}" is added')
@@ -215,7 +215,7 @@
     wait_until(served, f"{prefix} to be served", most)
 
 
-@when("an older and a broken configuration are written")
+@when("an older and a malformed configuration are written")
 def bad_configurations(context: Any) -> None:
     older = {"version": "r1", "routes": {}, "services": {}}
     _cluster(context).write_configuration(json.dumps(older))
@@ -230,27 +230,27 @@
 
 
 @when("a target of the keyed service drains")
-def drain(context: Any) -> None:
-    context.leaving = _nodes(context, KEYED)[1]
-    _cluster(context).control_target(context.leaving, "drain")
+def drain_target(context: Any) -> None:
+    context.draining = _nodes(context, KEYED)[1]
+    _cluster(context).control_target(context.draining, "drain")
 
 
 @then("it holds no key after {seconds:g} s and every key is served")
 def holds_none(context: Any, seconds: float) -> None:
     state = _cluster(context).state
-    wait_until(lambda: not state(context.leaving)["rows"], "its keys to go", seconds)
+    wait_until(lambda: not state(context.draining)["rows"], "its keys to be handed over", seconds)
     _cluster(context).wait_served()
 
 
 @then("it gets no request from then on")
-def no_request(context: Any) -> None:
-    before = len(_cluster(context).state(context.leaving)["ran"])
+def gets_no_request(context: Any) -> None:
+    before = len(_cluster(context).state(context.draining)["ran"])
     for node in _cluster(context).nodes:
-        _ask_keys(context, node, 8)
-    assert len(_cluster(context).state(context.leaving)["ran"]) == before
+        _request_keys(context, node, 8)
+    assert len(_cluster(context).state(context.draining)["ran"]) == before
 
 
-@when("a daemon beside the keyed service is killed and started again")
+@when("a daemon of the keyed service is killed and restarted")
 def restart(context: Any) -> None:
     context.restarted = _nodes(context, KEYED)[0]
     context.rows = _held(context, context.restarted)
@@ -267,13 +267,15 @@
     _cluster(context).wait_served()
 
 
-@then("its target holds the keys that it held")
+@then("its target holds the same keys as before")
 def same_keys(context: Any) -> None:
-    wait_until(lambda: _held(context, context.restarted) == context.rows, "its keys")
+    wait_until(
+        lambda: _held(context, context.restarted) == context.rows, "the same keys to be held"
+    )
 
 
 def _traffic(context: Any, until: float) -> None:
-    """Ask for keys and pooled answers until a time; note what failed."""
+    """Send keyed and pooled requests until *until*, and record those that failed."""
     while time.monotonic() < until:
         for node in _cluster(context).nodes:
             for path, key in ((f"/{KEYED}/safe/x", "30000"), (f"/{POOLED}/unsafe/x", "")):
@@ -286,16 +288,16 @@
         time.sleep(0.05)
 
 
-@when('the store is "{mode}" for {seconds:g} s')
-def store_away(context: Any, mode: str, seconds: float) -> None:
+@when('the store has the fault "{mode}" for {seconds:g} s')
+def store_has_fault(context: Any, mode: str, seconds: float) -> None:
     context.failures = []
     _cluster(context).store_call("/standin/faults", json.dumps({"mode": mode}))
     _traffic(context, time.monotonic() + seconds)
     _cluster(context).store_call("/standin/faults", "{}")
 
 
-@when("the store forgets its history and takes the members' entries away")
-def forget_and_revoke(context: Any) -> None:
+@when("the store discards its history and removes the members' entries")
+def discard_and_remove(context: Any) -> None:
     context.failures = []
     _cluster(context).store_call("/standin/forget")
     _cluster(context).store_call("/standin/revoke", json.dumps({"prefix": "pearward/members/"}))
@@ -308,28 +310,28 @@
 
 
 @then("every daemon has its entry again within {seconds:g} s")
-def entries_back(context: Any, seconds: float) -> None:
+def entries_present_again(context: Any, seconds: float) -> None:
     expected = {f"pearward/members/{node.name}" for node in _cluster(context).nodes}
 
-    def there() -> bool:
+    def all_present() -> bool:
         items = json.loads(_cluster(context).store_call("/standin/items"))
         return expected <= set(items)
 
-    wait_until(there, "the members' entries", seconds)
+    wait_until(all_present, "the members' entries", seconds)
 
 
-@when("a daemon is told to stop while it serves requests of 1 s")
-def planned_stop(context: Any) -> None:
+@when("a daemon is told to stop while it serves requests that run 1 s")
+def stop_while_serving(context: Any) -> None:
     node = context.stopped = _nodes(context, POOLED)[0]
     context.statuses = []
 
-    def one() -> None:
+    def send() -> None:
         reply = _cluster(context).call(
             node, f"/{POOLED}/unsafe/x?work_ms=1000", headers={"Request-Id": f"s-{time.time_ns()}"}
         )
         context.statuses.append(reply.status)
 
-    threads = [threading.Thread(target=one) for _ in range(6)]
+    threads = [threading.Thread(target=send) for _ in range(6)]
     for thread in threads:
         thread.start()
     time.sleep(0.3)
@@ -340,21 +342,21 @@
         thread.join()
 
 
-@then("all of them are answered and it ends by itself with 0")
-def all_answered(context: Any) -> None:
+@then("all of them are served and the daemon exits by itself with code 0")
+def all_served(context: Any) -> None:
     assert context.statuses == [200] * 6, context.statuses
     assert context.stopped.daemon.wait(timeout=8) == 0
     _cluster(context).start_daemon(context.stopped)
     _cluster(context).wait_served()
 
 
-@then("it is not ready from then on")
+@then("it reports that it is not ready after it was told to stop")
 def not_ready(context: Any) -> None:
     assert not context.ready_after
 
 
-@given('a route "{prefix}" whose requests may take {seconds:d} s')
-def patient_route(context: Any, prefix: str, seconds: int) -> None:
+@given('a route "{prefix}" with a time-out of {seconds:d} s')
+def route_with_time_out(context: Any, prefix: str, seconds: int) -> None:
     route = {
         "host": HOST, "pathPrefix": prefix, "kind": "safe", "timeoutMs": seconds * 1000,
         "targetLatencyMs": 15_000, "priority": 1, "maxAttempts": 2, "service": POOLED,
@@ -363,25 +365,27 @@
     serves_route(context, prefix, 5.0)
 
 
-@when('a daemon is told to stop under a request of {work:d} s on "{prefix}"')
+@when('a daemon is told to stop during a request that runs {work:d} s on "{prefix}"')
 def stop_under_long_request(context: Any, work: int, prefix: str) -> None:
     node = context.stopped = _nodes(context, POOLED)[0]
     headers = {"Request-Id": _id(context), "Deadline-Ms": "20000"}
 
-    def ask() -> None:
+    def send() -> None:
         context.reply = _cluster(context).call(
             node, f"{prefix}x?work_ms={work * 1000}", headers=headers
         )
 
-    caller = threading.Thread(target=ask)
+    caller = threading.Thread(target=send)
     caller.start()
     time.sleep(0.3)
     node.daemon.send_signal(signal.SIGTERM)
     caller.join()
 
 
-@when('a request on "{prefix}" that may take {allowed:d} s comes {seconds:g} s '
-      "after a daemon was told to stop")  # fmt: skip
+@when(
+    'a request on "{prefix}" with a deadline of {allowed:d} s arrives {seconds:g} s after a '
+    "daemon was told to stop"
+)
 def request_after_stop(context: Any, prefix: str, allowed: int, seconds: float) -> None:
     node = context.stopped = _nodes(context, POOLED)[0]
     context.asked = _id(context)
@@ -391,8 +395,8 @@
     context.reply = _cluster(context).call(node, f"{prefix}x", headers=headers)
 
 
-@then("it is answered, and its target was given between {least:g} s and {most:g} s")
-def time_given(context: Any, least: float, most: float) -> None:
+@then("it is served, and its target received a deadline between {least:g} s and {most:g} s")
+def received_deadline(context: Any, least: float, most: float) -> None:
     assert context.reply.status == 200, context.reply
     (run,) = [
         run
@@ -403,81 +407,85 @@
     assert least * 1000 <= int(run["deadline"]) <= most * 1000, run
 
 
-@then("that daemon ends with exit code 0 and is started again")
-def ends_and_returns(context: Any) -> None:
+@then("that daemon exits with code 0 and is restarted")
+def exits_and_restarts(context: Any) -> None:
     assert context.stopped.daemon.wait(timeout=8) == 0
     _cluster(context).start_daemon(context.stopped)
     _cluster(context).wait_served()
 
 
-@when("the store is away and a daemon with keys is told to stop under requests of 1 s")
+@when(
+    "the store is unavailable and a daemon with keys is told to stop during requests that run 1 s"
+)
 def stop_under_load(context: Any) -> None:
-    _stop_with_keys(context, askers=4, work_ms=1000, pause_s=0.0)
+    _stop_with_keys(context, callers=4, work_ms=1000, pause_s=0.0)
 
 
-@when("the store is away and a daemon with keys is told to stop "
-      "under short requests with pauses")  # fmt: skip
+@when(
+    "the store is unavailable and a daemon with keys is told to stop during short requests "
+    "with pauses"
+)
 def stop_under_pauses(context: Any) -> None:
-    _stop_with_keys(context, askers=1, work_ms=400, pause_s=0.15)
+    _stop_with_keys(context, callers=1, work_ms=400, pause_s=0.15)
 
 
-def _wait_settled(context: Any, node: MeshNode) -> None:
-    """Wait until a target has had the same keys for two seconds.
+def _wait_for_stable_keys(context: Any, node: MeshNode) -> None:
+    """Wait until a target has held the same keys for two seconds.
 
-    After the scenario before, its daemon has only just come back: it is given keys, and
-    part of them goes on to others with the next plans.
+    The previous scenario has just restarted its daemon: the target is granted keys, and the
+    next plans move part of them to other targets.
     """
     since = time.monotonic()
     before = _held(context, node)
 
-    def settled() -> bool:
+    def unchanged() -> bool:
         nonlocal since, before
         rows = _held(context, node)
         if rows != before or not rows:
             since, before = time.monotonic(), rows
-        return time.monotonic() - since >= SETTLED_S
+        return time.monotonic() - since >= STABLE_S
 
-    wait_until(settled, "the target's keys to stay", 20)
+    wait_until(unchanged, "the target's keys to be stable", 20)
 
 
-def _key_served_by(context: Any, node: MeshNode, asking: MeshNode) -> str:
-    """Return a key that the target of *node* answers for, as *asking* routes it.
+def _key_served_by(context: Any, node: MeshNode, sender: MeshNode) -> str:
+    """Return a key that *sender* routes to the target of *node*.
 
-    A key whose move had been written as the store went away was still held, and each request
-    for it ran at its new owner, as it should (4 of 4 plays with a move under way).
+    The keys that the target holds don't tell that: a key whose move was written just before the
+    store became unavailable is still held, while requests for it rightly run at its new owner.
     """
     cluster = _cluster(context)
     target = cluster.state(node)["id"]
     for first, *_ in _held(context, node):
         headers = {"Request-Id": _id(context), "Shard-Key": str(first)}
-        reply = cluster.call(asking, f"/{KEYED}/safe/x", headers=headers)
+        reply = cluster.call(sender, f"/{KEYED}/safe/x", headers=headers)
         if reply.headers.get("Target") == target:
             return str(first)
-    raise AssertionError(f"no key is answered for by {target}")
+    raise AssertionError(f"no key is served by {target}")
 
 
-def _stop_with_keys(context: Any, askers: int, work_ms: int, pause_s: float) -> None:
+def _stop_with_keys(context: Any, callers: int, work_ms: int, pause_s: float) -> None:
     cluster = _cluster(context)
     node = context.stopped = _nodes(context, KEYED)[0]
-    asking = _nodes(context, POOLED)[0]
-    _wait_settled(context, node)
-    context.answers_of = {}
+    sender = _nodes(context, POOLED)[0]
+    _wait_for_stable_keys(context, node)
+    context.status_by_id = {}
     cluster.store_call("/standin/faults", json.dumps({"mode": "silent"}))
-    # From here on no key map can be written: a key stays where it is looked up, unless a move
-    # is under way. What its target holds does not tell that; who answers for it does.
+    # From here on no key map can be written, so that a key stays at its owner unless a move is
+    # in progress. The target that serves the key shows that; the keys that it holds do not.
     time.sleep(0.3)
-    key = _key_served_by(context, node, asking)
+    key = _key_served_by(context, node, sender)
     ending = threading.Event()
 
-    def ask(number: int) -> None:
+    def send_requests(number: int) -> None:
         while not ending.is_set():
             request_id = f"k{number}-{time.time_ns()}"
             headers = {"Request-Id": request_id, "Shard-Key": key}
             path = f"/{KEYED}/unsafe/x?work_ms={work_ms}"
-            context.answers_of[request_id] = cluster.call(asking, path, headers=headers).status
+            context.status_by_id[request_id] = cluster.call(sender, path, headers=headers).status
             time.sleep(pause_s)
 
-    threads = [threading.Thread(target=ask, args=(number,)) for number in range(askers)]
+    threads = [threading.Thread(target=send_requests, args=(number,)) for number in range(callers)]
     for thread in threads:
         thread.start()
     time.sleep(0.5)
@@ -489,28 +497,28 @@
     cluster.store_call("/standin/faults", "{}")
 
 
-@then("every request that its target ran was answered whole")
-def ran_and_answered(context: Any) -> None:
+@then("every request that its target ran got its complete response")
+def all_complete(context: Any) -> None:
     ran = {run["id"] for run in _cluster(context).state(context.stopped)["ran"]}
-    cut = {i: status for i, status in context.answers_of.items() if i in ran and status != 200}
-    # Started again in any case, so that the scenarios after this one have it.
+    failed = {i: status for i, status in context.status_by_id.items() if i in ran and status != 200}
+    # Restarted before the checks, so that later scenarios have this daemon even if one fails.
     _cluster(context).start_daemon(context.stopped)
     _cluster(context).wait_served()
-    assert ran & set(context.answers_of), "nothing ran"
-    assert not cut, cut
+    assert ran & set(context.status_by_id), "the target ran none of the requests"
+    assert not failed, failed
 
 
-@then("the logs lead from its id to the target and the reason")
-def logs_lead(context: Any) -> None:
+@then("the logs give the target and the reason under its request id")
+def logs_give_reason(context: Any) -> None:
     def lines() -> list[dict[str, Any]]:
-        own = _cluster(context).log_lines()
-        return [line for line in own if line.get("id") == context.request_id]
+        all_lines = _cluster(context).log_lines()
+        return [line for line in all_lines if line.get("id") == context.request_id]
 
     def complete() -> bool:
         kinds = {line["message_type"] for line in lines()}
         return {"pearward:sent_to_target", "pearward:given_up"} <= kinds
 
-    wait_until(complete, "the lines of the request", 3)
+    wait_until(complete, "the log lines of the request", 3)
     by_kind = {line["message_type"]: line for line in lines()}
     assert by_kind["pearward:attempt_failed"]["target"]
     assert by_kind["pearward:given_up"]["reason"] == "server-failed"
@@ -523,11 +531,11 @@
     assert 'outcome="given_up"' in text
 
 
-# -- callers that leave -----------------------------------------------------------------------
+# -- callers that disconnect ------------------------------------------------------------------
 
 
-@when("a daemon is frozen, {count:d} callers send requests to it and leave, and it goes on")
-def leave_frozen(context: Any, count: int) -> None:
+@when("a daemon is suspended, {count:d} callers send requests to it and disconnect, and it resumes")
+def disconnect_while_suspended(context: Any, count: int) -> None:
     node = _nodes(context, POOLED)[0]
     context.asked = [_id(context) for _ in range(count)]
     _keep_connections(context, node)
@@ -544,7 +552,7 @@
 
 
 def _keep_connections(context: Any, node: MeshNode) -> None:
-    """Have a daemon keep connections to targets, on which a request goes out at once."""
+    """Have a daemon keep connections to targets, on which it can send a request at once."""
     path = f"/{POOLED}/safe/kept?work_ms=200"
     threads = [
         threading.Thread(
@@ -560,18 +568,20 @@
         thread.join()
 
 
-def _left(context: Any) -> set[str]:
+def _disconnected(context: Any) -> set[str]:
     lines = _cluster(context).log_lines()
     return {line["id"] for line in lines if line["message_type"] == "pearward:caller_left"}
 
 
 @then("no target has run any of them")
 def none_ran(context: Any) -> None:
-    wait_until(lambda: set(context.asked) <= _left(context), "the callers' end to be seen", 10)
+    wait_until(
+        lambda: set(context.asked) <= _disconnected(context), "the disconnections to be logged", 10
+    )
     ran = {r["id"] for n in _cluster(context).nodes for r in _cluster(context).state(n)["ran"]}
     assert not ran.intersection(context.asked), ran.intersection(context.asked)
 
 
-@then("its logs say that each caller had left")
-def left_logged(context: Any) -> None:
-    assert set(context.asked) <= _left(context), set(context.asked) - _left(context)
+@then("its logs say that each caller had disconnected")
+def disconnections_logged(context: Any) -> None:
+    assert set(context.asked) <= _disconnected(context), set(context.asked) - _disconnected(context)
