--- a/features/drains.feature
+++ b/features/drains.feature
@@ -65,7 +65,7 @@
     Given a fleet of 6 targets in failure domains "a", "b" and "c" that serves
     When "b" is drained
     And 1 s go by
-    And the store is away for 8 s
+    And the store is unavailable for 8 s
     Then no target in "b" holds a key or gets a request after 0 s
     And every key is served after 0.2 s more
 
--- a/features/same_id.feature
+++ b/features/same_id.feature
@@ -1,15 +1,15 @@
-Feature: A target that starts again under its id, in virtual time
+Feature: A target that restarts under its id, in virtual time
 
-  It holds and knows nothing of before, and counts its heartbeats anew. The oracle looks at
-  every tick for two holders of a key, and for a fence that does not rise.
+  The new incarnation holds no keys, has no state of the former one and starts its heartbeat numbers
+  again. The oracle checks every tick for two holders of a key, and for a fence that does not rise.
 
   Scenario Outline: It owns its keys again, under higher fences: <way>, <told>
     Given <way>
-    And targets that <told> when they were born
+    And targets that <told> their start time
     And a fleet of 4 targets that serves
-    When target 1 starts again under its id
+    When target 1 restarts under its id
     Then every key is served after <seconds> s
-    And the daemon beside target 1 knows two lives of it
+    And the daemon of target 1 distinguishes its two incarnations
 
     Examples:
       | told        | way                                   | seconds |
@@ -17,25 +17,25 @@
       | do not tell | targets that take keys by heartbeats  | 9       |
       | tell        | targets that take their keys by calls | 5       |
 
-  Scenario: Only its later life tells when it was born
-    Given targets that do not tell when they were born
+  Scenario: Only its later incarnation tells its start time
+    Given targets that do not tell their start time
     And a fleet of 4 targets that serves
-    When target 1 starts again under its id, born told
+    When target 1 restarts under its id, start time told
     Then every key is served after 9 s
-    And the daemon beside target 1 knows two lives of it
+    And the daemon of target 1 distinguishes its two incarnations
 
-  Scenario: It starts again over and over
-    Given targets that tell when they were born
+  Scenario: It restarts repeatedly
+    Given targets that tell their start time
     And a fleet of 4 targets that serves
-    When target 1 starts again under its id 3 times, 1 s apart
+    When target 1 restarts under its id 3 times, 1 s apart
     Then every key is served after 6 s
 
-  Scenario Outline: A late heartbeat of the former life changes nothing, in either order: <order>
-    Given targets that tell when they were born
+  Scenario Outline: A late heartbeat of the former incarnation changes nothing, in either order: <order>
+    Given targets that tell their start time
     And a fleet of 4 targets that serves
-    When target 1 starts again under its id, and one heartbeat of its former life comes <order>
+    When target 1 restarts under its id, and one heartbeat of its former incarnation arrives <order>
     Then every key is served after 6 s
-    And the daemon beside target 1 knows the newer life
+    And the daemon of target 1 knows its newer incarnation
 
     Examples:
       | order                   |
@@ -43,35 +43,36 @@
       | 3 s after its first     |
       | just before its first   |
 
-  Scenario: Its daemon is started again in between
-    Given targets that tell when they were born
+  Scenario: Its daemon restarts at the same time
+    Given targets that tell their start time
     And a fleet of 4 targets that serves
-    When target 1 starts again under its id, and its daemon at the same moment
+    When target 1 restarts under its id, and its daemon at the same moment
     Then every key is served after 7 s
 
-  Scenario: Heartbeats that are held up together are not taken for a new life
-    Given a daemon that has heard heartbeats 1 to 9 of "t"
-    When heartbeats 3 and 4 come late at the same moment
-    Then both are late ones
-    And heartbeat 10 is of "t"
+  Scenario: Heartbeats that are delayed together are not taken for those of a new incarnation
+    Given a daemon that has received heartbeats 1 to 9 of "t"
+    When heartbeats 3 and 4 arrive late at the same moment
+    Then both are recognised as late
+    And heartbeat 10 belongs to "t"
 
-  Scenario: A heartbeat of an older life is late, whatever it counts
-    Given a daemon that has heard heartbeats 1 to 9 of "t" born at 5000
-    Then heartbeat 40 born at 4000 is late
-    And heartbeat 1 born at 6000 is of "t~6000"
-    And heartbeat 10 born at 5000 is late
+  Scenario: A heartbeat of an older incarnation is late, whatever its number
+    Given a daemon that has received heartbeats 1 to 9 of "t" with start time 5000
+    Then heartbeat 40 with start time 4000 is late
+    And heartbeat 1 with start time 6000 belongs to "t~6000"
+    And heartbeat 10 with start time 5000 is late
 
-  Scenario: Heartbeats of one life that say only at times when it was born
-    Given a daemon that has heard heartbeats 1 to 9 of "t"
-    Then heartbeat 10 born at 5000 is of "t"
-    And heartbeat 11 is of "t"
+  Scenario: Heartbeats of one incarnation of which only some tell its start time
+    Given a daemon that has received heartbeats 1 to 9 of "t"
+    Then heartbeat 10 with start time 5000 belongs to "t"
+    And heartbeat 11 belongs to "t"
 
-  # A target's process ended and stood again at once, under the same id, and a renewal of its keys by
-  # a call reached it before its first heartbeat reached the daemon: the call names the id alone. The
-  # new life held key 16384 under fence 1, under which the former one had had it.
-  Scenario: A renewal by call does not reach the next life of a target under the former one's fence
+  # Guards against a fence under which two incarnations hold a key. A target's process ends and
+  # restarts at once under the same id, and a call that renews its keys reaches the new process before
+  # the daemon has its first heartbeat. As the call names only the id, the new incarnation would hold
+  # key 16384 under fence 1, as the former one did.
+  Scenario: A renewal by call does not reach the next incarnation of a target under the former one's fence
     Given targets that take their keys by calls
-    And targets that tell when they were born
+    And targets that tell their start time
     And a fleet of 4 targets that serves
-    When 0.9 s pass and target 1 starts again under its id
+    When 0.9 s pass and target 1 restarts under its id
     Then every key is served after 5 s
--- a/features/steps/mesh_ownership_steps.py
+++ b/features/steps/mesh_ownership_steps.py
@@ -1,4 +1,4 @@
-"""Steps of sole ownership in virtual time; the oracle looks at every tick."""
+"""Steps for exclusive ownership, in virtual time; the oracle checks every tick."""
 
 import sys
 from collections.abc import Callable
@@ -23,19 +23,19 @@
 
 
 def _world(context: Any, count: int) -> World:
-    """Start a fleet whose parts all read its time."""
+    """Start a fleet whose components all use its virtual clock."""
     stack = ExitStack()
     context.add_cleanup(stack.close)
-    way = getattr(context, "way", GrantMode.HEARTBEAT)
+    grant_mode = getattr(context, "grant_mode", GrantMode.HEARTBEAT)
     born = getattr(context, "born", False)
-    world = begin_world(stack, count, GrantTiming(), way=way, born=born)
+    world = begin_world(stack, count, GrantTiming(), way=grant_mode, born=born)
     context.world = world
     context.unserved = []
     return world
 
 
 def _run(context: Any, seconds: float) -> None:
-    """Let time pass; note the ticks in which a key had no holder."""
+    """Advance the time and record the ticks in which a key has no holder."""
     world = context.world
     for _ in range(round(seconds / TICK_S)):
         world.step()
@@ -46,7 +46,7 @@
 
 @given("targets that take their keys by calls")
 def by_calls(context: Any) -> None:
-    context.way = GrantMode.CALL
+    context.grant_mode = GrantMode.CALL
 
 
 @given("a fleet of {count:d} targets")
@@ -62,18 +62,18 @@
     context.before = world.holders()
 
 
-@when("the peers of daemon {number:d} are cut off")
-def cut_off(context: Any, number: int) -> None:
+@when("daemon {number:d} is isolated from its peers")
+def isolate(context: Any, number: int) -> None:
     context.world.nodes[number].cut_from_peers = True
 
 
-@when("instance {number:d} is lost for good")
-def lose(context: Any, number: int) -> None:
+@when("instance {number:d} is lost permanently")
+def lose_instance(context: Any, number: int) -> None:
     context.world.lose(context.world.nodes[number])
 
 
-@when("the store is away for {seconds:g} s")
-def store_away(context: Any, seconds: float) -> None:
+@when("the store is unavailable for {seconds:g} s")
+def store_unavailable(context: Any, seconds: float) -> None:
     context.world.store_down = True
     _run(context, seconds)
     context.world.store_down = False
@@ -82,11 +82,11 @@
 
 @given("a fleet of {count:d} targets of which instance {number:d} has the fastest link")
 def fleet_with_fast_link(context: Any, count: int, number: int) -> None:
-    usual = mesh_world._settings
+    default_settings = mesh_world._settings
 
-    def settings(instance: int, timing: GrantTiming, way: GrantMode) -> MeshSettings:
+    def settings(instance: int, timing: GrantTiming, grant_mode: GrantMode) -> MeshSettings:
         rate = 1000.0 if instance == number else 6.0
-        return replace(usual(instance, timing, way), link_mbit_per_s=rate)
+        return replace(default_settings(instance, timing, grant_mode), link_mbit_per_s=rate)
 
     patch = mock.patch.object(mesh_world, "_settings", settings)
     patch.start()
@@ -95,11 +95,11 @@
 
 
 @when("it has served for {seconds:g} s")
-def time_passes(context: Any, seconds: float) -> None:
+def run_for(context: Any, seconds: float) -> None:
     _run(context, seconds)
 
 
-@then("daemon {number:d} plans, and all report to it")
+@then("daemon {number:d} is the planner, and all report to it")
 def all_report_to(context: Any, number: int) -> None:
     planners = [node.daemon.core.planner for node in context.world.nodes]
     assert [planner.is_active_planner for planner in planners] == [
@@ -108,12 +108,12 @@
     assert {p.active_planner().instance for p in planners} == {f"instance-{number}"}
 
 
-@then("daemon {number:d} plans")
-def plans(context: Any, number: int) -> None:
+@then("daemon {number:d} is the planner")
+def is_planner(context: Any, number: int) -> None:
     assert context.world.nodes[number].daemon.core.planner.is_active_planner
 
 
-@when("the planner is cut off from the store for {seconds:g} s and its entry is taken away at once")
+@when("the planner is cut off from the store for {seconds:g} s and its entry is removed at once")
 def planner_cut_off(context: Any, seconds: float) -> None:
     world = context.world
     planner = next(node for node in world.nodes if node.daemon.core.planner.is_active_planner)
@@ -130,8 +130,8 @@
     assert context.world.holders() == context.before
 
 
-@when("daemon {number:d} starts anew and hears nothing from the store's key maps")
-def start_without_map(context: Any, number: int) -> None:
+@when("daemon {number:d} restarts and gets no key map from the store")
+def restart_without_map(context: Any, number: int) -> None:
     world = context.world
     node = world.nodes[number]
     world.start_daemon(node)
@@ -149,8 +149,8 @@
     assert f"members/instance-{number}" in context.world.store.items
 
 
-@when("the store forgets its history")
-def forget(context: Any) -> None:
+@when("the store discards its history")
+def discard_history(context: Any) -> None:
     store = context.world.store
     store.remove("members/of-nobody")
     store.revision += 1
@@ -165,12 +165,12 @@
     assert calls <= most, calls
 
 
-@when("the store takes the entry of daemon {number:d} away, but not its lease")
-def revoke(context: Any, number: int) -> None:
+@when("the store removes the entry of daemon {number:d}, but not its lease")
+def remove_entry(context: Any, number: int) -> None:
     context.world.store.remove(f"members/instance-{number}")
 
 
-@when("all daemons are killed and start again after {seconds:g} s")
+@when("all daemons are killed and restart after {seconds:g} s")
 def restart_all(context: Any, seconds: float) -> None:
     for node in context.world.nodes:
         context.world.end_daemon(node)
@@ -179,7 +179,7 @@
         context.world.start_daemon(node)
 
 
-@when("everything loses power and starts again after {seconds:g} s")
+@when("all instances lose power and restart after {seconds:g} s")
 def power_loss(context: Any, seconds: float) -> None:
     for node in context.world.nodes:
         context.world.end_daemon(node)
@@ -190,21 +190,21 @@
         context.world.start_daemon(node)
 
 
-@when("target {number:d} says that it leaves")
-def drain(context: Any, number: int) -> None:
+@when("target {number:d} starts to drain")
+def start_draining(context: Any, number: int) -> None:
     context.world.nodes[number].target.draining = True
 
 
 @when(
-    "the next write of the store is done {late:g} s late and target {number:d} says that it leaves"
+    "the next write to the store is applied {late:g} s late and target {number:d} starts to drain"
 )
 def late_write(context: Any, late: float, number: int) -> None:
     context.world.lose_writes([late])
     context.world.nodes[number].target.draining = True
 
 
-@when("daemon {number:d} stands still for {seconds:g} s")
-def stand_still(context: Any, number: int, seconds: float) -> None:
+@when("daemon {number:d} is suspended for {seconds:g} s")
+def suspend(context: Any, number: int, seconds: float) -> None:
     node = context.world.nodes[number]
     context.world.freeze(node)
     context.world.run(seconds)
@@ -212,7 +212,7 @@
 
 
 @when(
-    "neighbouring keys of target {number:d} are asked for {rate:d} times a second for {seconds:g} s"
+    "neighbouring keys of target {number:d} are requested {rate:d} times a second for {seconds:g} s"
 )
 def hot_keys(context: Any, number: int, rate: int, seconds: float) -> None:
     world = context.world
@@ -227,72 +227,82 @@
         _run(context, 0.1)
 
 
-STOPPING_S, DOWN_S = 3.0, 1.4
-"""How long a daemon that was told to stop goes on, and how long it then takes to stand again."""
+STOPPING_S, RESTART_S = 3.0, 1.4
+"""Seconds a daemon keeps running after it was told to stop, and seconds until it has restarted."""
 
 
-@when("each target is asked for {rate:d} requests a second "
-      "while daemon {number:d} is stopped and started again")  # fmt: skip
-def stop_and_start(context: Any, rate: int, number: int) -> None:
+@when(
+    "each target gets {rate:d} requests a second while daemon {number:d} is stopped and restarted"
+)
+def stop_and_restart(context: Any, rate: int, number: int) -> None:
     world = context.world
     node = world.nodes[number]
 
-    def ask(seconds: float) -> None:
+    def send_load(seconds: float) -> None:
         for _ in range(round(seconds * 4)):
-            for asked in [n for n in world.nodes if n.target.rows]:
-                world.load(asked, world.key_of(asked), rate // 4)
+            for target_node in [n for n in world.nodes if n.target.rows]:
+                world.load(target_node, world.key_of(target_node), rate // 4)
             _run(context, 0.25)
 
-    ask(4.0)
-    # What load has levelled is not the stop's doing.
+    send_load(4.0)
+    # Moves that balanced the load before the stop are not counted as its effect.
     context.before = world.holders()
     context.unserved.clear()
     node.daemon.core.stop()
-    ask(STOPPING_S)
+    send_load(STOPPING_S)
     context.held_at_end = [key for key in KEYS if node.target.holds(key)]
     node.daemon.core.session.stop(keep_entry=True)
     world.end_daemon(node)
-    ask(DOWN_S)
+    send_load(RESTART_S)
     world.start_daemon(node)
-    ask(3.0)
+    send_load(3.0)
 
 
-@then("target {number:d} held no key when its daemon ended")
+@then("target {number:d} held no key when its daemon exited")
 def held_none(context: Any, number: int) -> None:
     assert not context.held_at_end
 
 
-@then("no key rested for more than {seconds:g} s in all")
-def rested(context: Any, seconds: float) -> None:
+@then("no key was unserved for more than {seconds:g} s in total")
+def unserved_for(context: Any, seconds: float) -> None:
     assert len(context.unserved) * TICK_S <= seconds, len(context.unserved) * TICK_S
 
 
-@when("a heartbeat comes to daemon {number:d} from a target that has counted {calls:d} calls")
-def foreign_beat(context: Any, number: int, calls: int) -> None:
-    context.other = f"i-other-{calls}"
+@when("daemon {number:d} gets heartbeat {sequence:d} of another target")
+def heartbeat_of_other_target(context: Any, number: int, sequence: int) -> None:
+    context.other = f"i-other-{sequence}"
     target_heartbeat = TargetHeartbeat(
-        context.other, "roster-app", "127.0.0.1:1", "a", 12, TargetState.READY, 0.0, calls, (), ()
+        context.other,
+        "roster-app",
+        "127.0.0.1:1",
+        "a",
+        12,
+        TargetState.READY,
+        0.0,
+        sequence,
+        (),
+        (),
     )
     context.world.nodes[number].daemon.core.local_target.target_heartbeat(target_heartbeat)
 
 
 @when(
-    "a heartbeat comes to daemon {number:d}, with connections open, from a target that has "
-    "counted {calls:d} calls"
+    "daemon {number:d}, with connections open to its target, gets heartbeat {sequence:d} of "
+    "another target"
 )
-def foreign_beat_connected(context: Any, number: int, calls: int) -> None:
+def heartbeat_while_connected(context: Any, number: int, sequence: int) -> None:
     context.world.nodes[number].daemon.core.local_target.client.open_connections = 3
-    foreign_beat(context, number, calls)
+    heartbeat_of_other_target(context, number, sequence)
 
 
-@then("daemon {number:d} goes on with the target that it had")
-def same_target(context: Any, number: int) -> None:
+@then("daemon {number:d} keeps its target")
+def keeps_target(context: Any, number: int) -> None:
     node = context.world.nodes[number]
     assert node.daemon.core.local_target.grant_manager.target == node.target.id
 
 
-@then("daemon {number:d} goes on with the new target")
-def new_target(context: Any, number: int) -> None:
+@then("daemon {number:d} switches to the new target")
+def switches_target(context: Any, number: int) -> None:
     assert (
         context.world.nodes[number].daemon.core.local_target.grant_manager.target == context.other
     )
@@ -333,7 +343,7 @@
 
 
 @then("no key ever had two holders")
-def sole(context: Any) -> None:
+def one_holder(context: Any) -> None:
     _run(context, 5.0)
 
 
@@ -351,23 +361,23 @@
     context.case = CASES[rule]
 
 
-@when("the case for it is played")
-def play_case(context: Any) -> None:
+@when("the case for it is run")
+def run_case(context: Any) -> None:
     case = context.case
-    context.way = case.way
-    # With the rule in place the same case breaks nothing.
-    _play(context, case.play)
+    context.grant_mode = case.way
+    # With the rule in force the same case must violate nothing.
+    _run_case(context, case.play)
     assert not context.found, context.found
     with mock.patch.object(case.owner, case.name, case.without):
-        _play(context, case.play)
+        _run_case(context, case.play)
 
 
-def _play(context: Any, play: Callable[[World], None]) -> None:
+def _run_case(context: Any, scenario: Callable[[World], None]) -> None:
     world = _world(context, 4)
     context.found = ""
     try:
         world.run(8.0)
-        play(world)
+        scenario(world)
     except AssertionError as error:
         context.found = str(error)
 
@@ -380,13 +390,13 @@
 # -- keys by calls ------------------------------------------------------------------------
 
 
-@when("the next {count:d} grants go unanswered and are taken up to {seconds:g} s late")
-def late_grants(context: Any, count: int, seconds: float) -> None:
+@when("the next {count:d} grants get no reply and are taken up to {seconds:g} s late")
+def lose_replies(context: Any, count: int, seconds: float) -> None:
     delays = [(0.5,), (2.0, seconds), (0.0, 2.5), (seconds,)]
     context.world.lose_orders([delays[n % len(delays)] for n in range(count)])
 
 
-@when("target {number:d} says that it has seen a higher fence for all its keys")
+@when("target {number:d} reports that it has seen a higher fence for all its keys")
 def seen_higher(context: Any, number: int) -> None:
     world = context.world
     node = world.nodes[number]
@@ -402,17 +412,17 @@
 )
 def asks_for_map(context: Any, number: int, most: int) -> None:
     key_map = context.world.nodes[number].daemon.core.key_maps.of("roster-app")
-    assert context.pulls, "no newer map was asked for"
+    assert context.pulls, "the daemon asked for no newer map"
     assert all(row.fence <= key_map.fence for row in context.offers), context.offers
     rows = len({(row.first, row.last) for row in context.offers})
     assert len(context.offers) <= most * 3 * max(1, rows), len(context.offers)
 
 
 @when(
-    "target {number:d} is replaced, and its daemon restarted {seconds:g} s later under a late "
-    "heartbeat of the former"
+    "target {number:d} is replaced, and its daemon restarts {seconds:g} s later and gets a "
+    "late heartbeat of the former target"
 )
-def late_beat_after_restart(context: Any, number: int, seconds: float) -> None:
+def late_heartbeat_after_restart(context: Any, number: int, seconds: float) -> None:
     world = context.world
     node = world.nodes[number]
     former = node.target.id
@@ -427,8 +437,8 @@
     assert node.daemon.core.local_target.grant_manager.target == former
 
 
-@then("daemon {number:d} knows the living target after {seconds:g} s")
-def knows_living(context: Any, number: int, seconds: float) -> None:
+@then("daemon {number:d} knows the present target after {seconds:g} s")
+def knows_present_target(context: Any, number: int, seconds: float) -> None:
     world = context.world
     node = world.nodes[number]
     world.run(seconds)
