--- a/features/mesh_link.feature
+++ b/features/mesh_link.feature
@@ -1,84 +1,84 @@
-Feature: Long answers take turns on the instance's link
+Feature: Long responses share the instance's link in chunk slots
 
-  Scenario: What is handed over ahead stays small, so that a short answer never waits
-    Given a link of 6 Mbit/s on which 5 answers of 90000 bytes wait
-    When turns are given for 0.5 s
-    Then no more than 0.04 s of the link was ever handed over ahead
+  Scenario: Little is sent ahead of the link, so that a short response never waits
+    Given a link of 6 Mbit/s on which 5 responses of 90000 bytes wait
+    When chunk slots are granted for 0.5 s
+    Then the bytes sent were never more than 0.04 s ahead of the link
     And the link was busy all the time
 
-  Scenario: The shortest rest goes first among the answers that can come in time
-    Given a link of 6 Mbit/s on which answers of 200000, 50000 and 90000 bytes wait
-    When turns are given until all are handed over
-    Then they ended in the order 50000, 90000, 200000
-
-  Scenario: An answer that comes too late anyway lets those pass that can come in time
-    Given a link of 6 Mbit/s on which answers of 50000 and 200000 bytes wait, the first of them late
-    When turns are given until all are handed over
-    Then they ended in the order 200000, 50000
-
-  Scenario: A late answer is not left waiting while others keep coming
-    Given a link of 6 Mbit/s on which answers of 50000 and 90000 bytes wait, the first of them late
-    When turns are given for 1.5 s while another answer of 90000 bytes comes every 0.1 s
-    Then the one of 50000 bytes has ended
-    And at least 0.8 of what was handed over was of answers in time
-
-  # Its first part is with the caller, so that nothing else can be answered any more, and the caller's
-  # daemon ends at that time.
-  Scenario: A late answer that has begun comes whole before its time ends, others keep coming
-    Given a link of 6 Mbit/s on which 8 answers of 90000 bytes wait, all of them late
-    And the last of them has begun and has 3 s left
-    When turns are given for 3 s while another answer of 90000 bytes comes every 0.1 s
-    Then the last of them has ended
-    And at least 0.7 of what was handed over was not of late answers
-
-  Scenario: A late answer that has not begun lets others pass until its time ends
-    Given a link of 6 Mbit/s on which 8 answers of 90000 bytes wait, all of them late
-    And the last of them has not begun and has 3 s left
-    When turns are given for 3 s while another answer of 90000 bytes comes every 0.1 s
-    Then the last of them has not begun yet
-
-  Scenario: An answer whose receiver takes no more holds nobody up
-    Given a link of 6 Mbit/s on which answers of 50000 and 90000 bytes wait
-    When the receiver of the first takes no more
-    And turns are given for 1 s
-    Then only the one of 90000 bytes has ended
+  Scenario: Among the responses that can be in time the one with the fewest remaining bytes goes first
+    Given a link of 6 Mbit/s on which responses of 200000, 50000 and 90000 bytes wait
+    When chunk slots are granted until all are sent
+    Then they were completed in the order 50000, 90000, 200000
+
+  Scenario: A response that is late in any case yields to those that can be in time
+    Given a link of 6 Mbit/s on which responses of 50000 and 200000 bytes wait, the first of them late
+    When chunk slots are granted until all are sent
+    Then they were completed in the order 200000, 50000
+
+  Scenario: A late response is sent in the end although others keep arriving
+    Given a link of 6 Mbit/s on which responses of 50000 and 90000 bytes wait, the first of them late
+    When chunk slots are granted for 1.5 s while another response of 90000 bytes arrives every 0.1 s
+    Then the one of 50000 bytes is completely sent
+    And at least 0.8 of the bytes sent were of responses in time
+
+  # The caller already has the first part of the response, so that it can't get another one instead,
+  # and its daemon ends the request at the deadline.
+  Scenario: A late response that has started is complete before its deadline although others keep arriving
+    Given a link of 6 Mbit/s on which 8 responses of 90000 bytes wait, all of them late
+    And the last of them has started and has 3 s to its deadline
+    When chunk slots are granted for 3 s while another response of 90000 bytes arrives every 0.1 s
+    Then the last of them is completely sent
+    And at least 0.7 of the bytes sent were not of late responses
+
+  Scenario: A late response that has not started yields to others until its deadline
+    Given a link of 6 Mbit/s on which 8 responses of 90000 bytes wait, all of them late
+    And the last of them has not started and has 3 s to its deadline
+    When chunk slots are granted for 3 s while another response of 90000 bytes arrives every 0.1 s
+    Then the last of them has not started yet
+
+  Scenario: A response whose receiver accepts no more data delays no other one
+    Given a link of 6 Mbit/s on which responses of 50000 and 90000 bytes wait
+    When the receiver of the first accepts no more data
+    And chunk slots are granted for 1 s
+    Then only the one of 90000 bytes is completely sent
 
   Scenario: On a fast link nothing waits
-    Given a link of 1000 Mbit/s on which 5 answers of 90000 bytes wait
-    When turns are given for 0.005 s
-    Then all have ended
+    Given a link of 1000 Mbit/s on which 5 responses of 90000 bytes wait
+    When chunk slots are granted for 0.005 s
+    Then all are completely sent
 
   # -- streams --------------------------------------------------------------------------------
 
-  Scenario: A short answer passes a long one
+  Scenario: A short response overtakes a long one
     Given a daemon whose link carries 1 Mbit/s
-    When 90000 bytes and then 300 bytes are answered to two peers
-    Then the short one is sent whole at once, and of the long one no more than a chunk
-    And 1 s later all of the long one is sent, and its head came first
+    When responses of 90000 bytes and then 300 bytes are sent to two peers
+    Then the short one is sent completely at once, and no more than a chunk of the long one
+    And 1 s later the long one is sent completely, its head first
 
-  Scenario: A long answer leaves the target's slot as soon as the target has sent it
+  Scenario: A long response frees the target's slot as soon as the target has sent it
     Given a daemon whose link carries 1 Mbit/s
-    When 90000 bytes and then 300 bytes are answered to two peers
-    Then the target may go on, and the daemon still counts one answer
+    When responses of 90000 bytes and then 300 bytes are sent to two peers
+    Then the target may continue, and the daemon still counts one waiting response
 
-  Scenario: An answer that nobody wants any more is not sent
+  Scenario: A response that is no longer needed is not sent
     Given a daemon whose link carries 1 Mbit/s
-    When 90000 bytes and then 300 bytes are answered to two peers
-    And the requester of the long one gives up
-    Then nothing more of it is sent, and the daemon counts no answer
+    When responses of 90000 bytes and then 300 bytes are sent to two peers
+    And the requester of the long one cancels its request
+    Then nothing more of it is sent, and the daemon counts no waiting response
 
-  Scenario: The reset that follows a whole answer waits for the answer
+  Scenario: The reset that follows a complete response waits for the response
     Given a daemon whose link carries 1 Mbit/s
-    When 90000 bytes and then 300 bytes are answered to two peers
-    And the request of the long one is reset, as the rest of its body is not wanted
-    Then 1 s later all of the long one is sent, and the reset after it
+    When responses of 90000 bytes and then 300 bytes are sent to two peers
+    And the request of the long one is reset, as the rest of the request body is not needed
+    Then 1 s later the long one is sent completely, and the reset after it
 
   # -- admission ------------------------------------------------------------------------------
 
-  Scenario Outline: A long request is refused where the link would bring its answer too late: <case>
-    Given a link of 6 Mbit/s on which <waiting> answers of 90000 bytes wait, <late> of them late
-    And <running> more are still run by the target
-    When a long request that runs 0.1 s, with 0.8 s to its objective and 4 s left, comes to <which> target
+  Scenario Outline: A long request is refused where the link would deliver its response too late: <case>
+    Given a link of 6 Mbit/s on which <waiting> responses of 90000 bytes wait, <late> of them late
+    And <running> more are still being run by the target
+    When a long request that runs 0.1 s, with 0.8 s to its objective and 4 s to its deadline, arrives at <which> target
     Then the long request is <outcome>
 
     Examples:
--- a/features/steps/mesh_link_steps.py
+++ b/features/steps/mesh_link_steps.py
@@ -1,4 +1,4 @@
-"""Steps of long answers that take turns on an instance's link."""
+"""Steps for long responses that share an instance's link in chunk slots."""
 
 from typing import Any
 from unittest import mock
@@ -20,7 +20,7 @@
 # -- the queue ----------------------------------------------------------------------------------
 
 
-def _waiting(context: Any, rate: float, sizes: list[int], late: int = 0) -> None:
+def _fill_queue(context: Any, rate: float, sizes: list[int], late: int = 0) -> None:
     context.now = 0.0
     context.rate = rate
     context.link = LinkQueue(rate)
@@ -30,167 +30,175 @@
         ticket = context.link.join(objective, size, 0.0)
         ticket.unsent, ticket.ended = size, True
         context.tickets.append((size, ticket))
-    context.over = []
-    context.handed = []
+    context.completed = []
+    context.sent_chunks = []
 
 
-@given("a link of {rate:g} Mbit/s on which {count:d} answers of {size:d} bytes wait")
-def equal_answers(context: Any, rate: float, count: int, size: int) -> None:
-    _waiting(context, rate, [size] * count)
+@given("a link of {rate:g} Mbit/s on which {count:d} responses of {size:d} bytes wait")
+def equal_responses(context: Any, rate: float, count: int, size: int) -> None:
+    _fill_queue(context, rate, [size] * count)
 
 
-@given("a link of {rate:g} Mbit/s on which answers of {sizes} bytes wait, the first of them late")
-def late_answers(context: Any, rate: float, sizes: str) -> None:
-    _waiting(context, rate, _numbers(sizes), late=1)
+@given("a link of {rate:g} Mbit/s on which responses of {sizes} bytes wait, the first of them late")
+def late_responses(context: Any, rate: float, sizes: str) -> None:
+    _fill_queue(context, rate, _numbers(sizes), late=1)
 
 
-@given("a link of {rate:g} Mbit/s on which answers of {sizes} bytes wait")
-def several_answers(context: Any, rate: float, sizes: str) -> None:
-    _waiting(context, rate, _numbers(sizes))
+@given("a link of {rate:g} Mbit/s on which responses of {sizes} bytes wait")
+def several_responses(context: Any, rate: float, sizes: str) -> None:
+    _fill_queue(context, rate, _numbers(sizes))
 
 
 def _numbers(text: str) -> list[int]:
     return [int(part) for part in text.replace(" and ", ", ").split(", ")]
 
 
-def _turn(context: Any, ticket: LinkTicket) -> None:
+def _use_chunk_slot(context: Any, ticket: LinkTicket) -> None:
     size = min(context.link.chunk, ticket.unsent)
     ticket.unsent -= size
     ticket.remaining -= size
     ticket.started = True
     context.link.note_sent(size, context.now)
-    context.handed.append((context.now, size))
+    context.sent_chunks.append((context.now, size))
     if not ticket.unsent:
         context.link.leave(ticket)
-        context.over.append(next(s for s, t in context.tickets if t is ticket))
+        context.completed.append(next(s for s, t in context.tickets if t is ticket))
 
 
-@when("turns are given for {seconds:g} s")
-def turns_for(context: Any, seconds: float) -> None:
+@when("chunk slots are granted for {seconds:g} s")
+def grant_slots_for(context: Any, seconds: float) -> None:
     end = context.now + seconds
     while context.now < end:
         while (ticket := context.link.next(context.now)) is not None:
-            _turn(context, ticket)
+            _use_chunk_slot(context, ticket)
         context.now += STEP_S
 
 
-@when("turns are given for {seconds:g} s while another answer of {size:d} bytes comes "
-      "every {pause:g} s")  # fmt: skip
-def turns_while_coming(context: Any, seconds: float, size: int, pause: float) -> None:
-    for _ in range(round(seconds / pause)):
+@when(
+    "chunk slots are granted for {seconds:g} s while another response of {size:d} bytes "
+    "arrives every {interval:g} s"
+)
+def grant_slots_while_arriving(context: Any, seconds: float, size: int, interval: float) -> None:
+    for _ in range(round(seconds / interval)):
         ticket = context.link.join(context.now + OBJECTIVE_S, size, context.now)
         ticket.unsent, ticket.ended = size, True
         context.tickets.append((size, ticket))
-        turns_for(context, pause)
+        grant_slots_for(context, interval)
 
 
-@given("a link of {rate:g} Mbit/s on which {count:d} answers of {size:d} bytes wait, "
-       "all of them late")  # fmt: skip
+@given(
+    "a link of {rate:g} Mbit/s on which {count:d} responses of {size:d} bytes wait, "
+    "all of them late"
+)
 def all_late(context: Any, rate: float, count: int, size: int) -> None:
-    _waiting(context, rate, [size] * count, late=count)
+    _fill_queue(context, rate, [size] * count, late=count)
     context.late = [ticket for _, ticket in context.tickets]
 
 
-@given("the last of them has begun and has {seconds:g} s left")
-def last_begun(context: Any, seconds: float) -> None:
+@given("the last of them has started and has {seconds:g} s to its deadline")
+def last_started(context: Any, seconds: float) -> None:
     last = context.late[-1]
     last.deadline = context.now + seconds
-    _turn(context, last)
+    _use_chunk_slot(context, last)
 
 
-@given("the last of them has not begun and has {seconds:g} s left")
-def last_not_begun(context: Any, seconds: float) -> None:
+@given("the last of them has not started and has {seconds:g} s to its deadline")
+def last_not_started(context: Any, seconds: float) -> None:
     context.late[-1].deadline = context.now + seconds
 
 
-@then("the last of them has ended")
-def last_ended(context: Any) -> None:
+@then("the last of them is completely sent")
+def last_completed(context: Any) -> None:
     assert not context.late[-1].unsent, context.late[-1]
 
 
-@then("the last of them has not begun yet")
+@then("the last of them has not started yet")
 def last_waits(context: Any) -> None:
     assert not context.late[-1].started, context.late[-1]
 
 
-@then("at least {share:g} of what was handed over was not of late answers")
+@then("at least {share:g} of the bytes sent were not of late responses")
 def few_late(context: Any, share: float) -> None:
-    total = sum(size for _, size in context.handed)
-    late = sum(LONG - ticket.unsent for ticket in context.late)
-    assert total - late >= share * total, (late, total)
+    total = sum(size for _, size in context.sent_chunks)
+    late_bytes = sum(LONG - ticket.unsent for ticket in context.late)
+    assert total - late_bytes >= share * total, (late_bytes, total)
 
 
-@then("the one of {size:d} bytes has ended")
-def one_has_ended(context: Any, size: int) -> None:
-    assert size in context.over, context.over
+@then("the one of {size:d} bytes is completely sent")
+def one_completed(context: Any, size: int) -> None:
+    assert size in context.completed, context.completed
 
 
-@then("at least {share:g} of what was handed over was of answers in time")
+@then("at least {share:g} of the bytes sent were of responses in time")
 def mostly_in_time(context: Any, share: float) -> None:
-    total = sum(size for _, size in context.handed)
+    total = sum(size for _, size in context.sent_chunks)
     assert total - context.tickets[0][0] >= share * total, (total, context.tickets[0][0])
 
 
-@when("turns are given until all are handed over")
-def turns_until_over(context: Any) -> None:
+@when("chunk slots are granted until all are sent")
+def grant_slots_until_sent(context: Any) -> None:
     while context.link.waiting:
-        turns_for(context, STEP_S)
+        grant_slots_for(context, STEP_S)
 
 
-@when("the receiver of the first takes no more")
+@when("the receiver of the first accepts no more data")
 def first_blocked(context: Any) -> None:
     context.tickets[0][1].blocked = True
 
 
-@then("no more than {seconds:g} s of the link was ever handed over ahead")
-def little_ahead(context: Any, seconds: float) -> None:
+@then("the bytes sent were never more than {seconds:g} s ahead of the link")
+def not_ahead_of_link(context: Any, seconds: float) -> None:
     bytes_per_s = context.rate * 125_000
     total = 0
-    for at, size in context.handed:
+    for at, size in context.sent_chunks:
         total += size
         assert total <= (at + seconds) * bytes_per_s, (at, total)
 
 
 @then("the link was busy all the time")
 def link_busy(context: Any) -> None:
-    total = sum(size for _, size in context.handed)
+    total = sum(size for _, size in context.sent_chunks)
     assert total >= 0.9 * context.now * context.rate * 125_000, total
 
 
-@then("they ended in the order {sizes}")
-def ended_in_order(context: Any, sizes: str) -> None:
-    assert context.over == _numbers(sizes), context.over
+@then("they were completed in the order {sizes}")
+def completed_in_order(context: Any, sizes: str) -> None:
+    assert context.completed == _numbers(sizes), context.completed
 
 
-@then("only the one of {size:d} bytes has ended")
-def only_one_ended(context: Any, size: int) -> None:
-    assert context.over == [size], context.over
+@then("only the one of {size:d} bytes is completely sent")
+def only_one_completed(context: Any, size: int) -> None:
+    assert context.completed == [size], context.completed
 
 
-@then("all have ended")
-def all_ended(context: Any) -> None:
-    assert len(context.over) == len(context.tickets), context.over
+@then("all are completely sent")
+def all_completed(context: Any) -> None:
+    assert len(context.completed) == len(context.tickets), context.completed
 
 
 # -- admission ------------------------------------------------------------------------------------
 
 
-@given("a link of {rate:g} Mbit/s on which {count:d} answers of {size:d} bytes wait, "
-       "{late:d} of them late")  # fmt: skip
+@given(
+    "a link of {rate:g} Mbit/s on which {count:d} responses of {size:d} bytes wait, "
+    "{late:d} of them late"
+)
 def some_late(context: Any, rate: float, count: int, size: int, late: int) -> None:
-    _waiting(context, rate, [size] * count, late)
+    _fill_queue(context, rate, [size] * count, late)
 
 
-@given("{count:d} more are still run by the target")
+@given("{count:d} more are still being run by the target")
 def still_run(context: Any, count: int) -> None:
     context.under_way = count
 
 
-@when("a long request that runs {runs:g} s, with {objective:g} s to its objective and "
-      "{left:g} s left, comes to the {which} target")  # fmt: skip
+@when(
+    "a long request that runs {runs:g} s, with {objective:g} s to its objective and "
+    "{left:g} s to its deadline, arrives at the {which} target"
+)
 def long_request(context: Any, runs: float, objective: float, left: float, which: str) -> None:
-    asked = LongRequest(runs, objective, left, which == "last")
-    context.lateness_s = context.link.lateness_s(asked, context.under_way, context.now)
+    candidate = LongRequest(runs, objective, left, which == "last")
+    context.lateness_s = context.link.lateness_s(candidate, context.under_way, context.now)
 
 
 @then("the long request is {outcome}")
@@ -202,7 +210,7 @@
 
 
 class _Connection:
-    """Records what is sent on it, as PeerConnection is asked to."""
+    """Stand-in for PeerConnection that records what is sent on it."""
 
     def __init__(self, link: LinkQueue, clock: Clock) -> None:
         self.sent: list[tuple[str, int]] = []
@@ -223,12 +231,12 @@
 
     @property
     def data_bytes(self) -> int:
-        """Bytes of the body that were sent."""
+        """Number of bytes of the body that were sent."""
         return sum(size for _, size in self.sent)
 
 
 class _Request:
-    """The target's side of a stream; only told of resets here."""
+    """Stand-in for the target's side of a stream, which gets only resets here."""
 
     def __init__(self) -> None:
         self.resets: list[ResetCode] = []
@@ -256,63 +264,63 @@
     return stream, connection
 
 
-@when("{long:d} bytes and then {short:d} bytes are answered to two peers")
-def two_answers(context: Any, long: int, short: int) -> None:
+@when("responses of {long:d} bytes and then {short:d} bytes are sent to two peers")
+def two_responses(context: Any, long: int, short: int) -> None:
     context.long, context.long_connection = _stream(context)
     context.short, context.short_connection = _stream(context)
     head = ResponseHead(200, Outcome.SERVED, body_length=long)
     context.long.respond(head, ended=False)
-    context.goes_on = context.long.send_data(bytes(long), ended=True)
+    context.accepts_more = context.long.send_data(bytes(long), ended=True)
     head = ResponseHead(200, Outcome.SERVED, body_length=short)
     context.short.respond(head, ended=True, body=bytes(short))
 
 
-@when("the requester of the long one gives up")
-def long_given_up(context: Any) -> None:
+@when("the requester of the long one cancels its request")
+def long_cancelled(context: Any) -> None:
     context.sent_before = context.long_connection.data_bytes
     context.long.reset_received(ResetCode.CANCELLED)
 
 
-@when("the request of the long one is reset, as the rest of its body is not wanted")
+@when("the request of the long one is reset, as the rest of the request body is not needed")
 def long_reset(context: Any) -> None:
     context.long.reset(ResetCode.CANCELLED)
 
 
-@then("the short one is sent whole at once, and of the long one no more than a chunk")
+@then("the short one is sent completely at once, and no more than a chunk of the long one")
 def short_first(context: Any) -> None:
     assert context.short_connection.sent == [("whole", SHORT)]
     assert 0 < context.long_connection.data_bytes <= context.link.chunk
 
 
-@then("{seconds:g} s later all of the long one is sent, and its head came first")
+@then("{seconds:g} s later the long one is sent completely, its head first")
 def long_sent(context: Any, seconds: float) -> None:
-    _pass(context, seconds)
+    _advance(context, seconds)
     kinds = [kind for kind, _ in context.long_connection.sent]
     assert kinds == ["head", *["data"] * (len(kinds) - 2), "end"], kinds
     assert context.long_connection.data_bytes == LONG
     assert context.pacer.waiting == 0
 
 
-def _pass(context: Any, seconds: float) -> None:
+def _advance(context: Any, seconds: float) -> None:
     for _ in range(round(seconds / STEP_S)):
         context.clock.advance(STEP_S)
 
 
-@then("the target may go on, and the daemon still counts one answer")
+@then("the target may continue, and the daemon still counts one waiting response")
 def counts_one(context: Any) -> None:
-    assert context.goes_on
+    assert context.accepts_more
     assert context.pacer.waiting == 1
 
 
-@then("nothing more of it is sent, and the daemon counts no answer")
+@then("nothing more of it is sent, and the daemon counts no waiting response")
 def nothing_more(context: Any) -> None:
-    _pass(context, 2.0)
+    _advance(context, 2.0)
     assert context.long_connection.data_bytes == context.sent_before
     assert context.pacer.waiting == 0
 
 
-@then("{seconds:g} s later all of the long one is sent, and the reset after it")
+@then("{seconds:g} s later the long one is sent completely, and the reset after it")
 def reset_last(context: Any, seconds: float) -> None:
-    _pass(context, seconds)
+    _advance(context, seconds)
     assert context.long_connection.data_bytes == LONG
     assert [kind for kind, _ in context.long_connection.sent[-2:]] == ["end", "reset"]
