--- a/features/steps/store_entry_steps.py
+++ b/features/steps/store_entry_steps.py
@@ -1,4 +1,4 @@
-"""Steps of entries and changes in a store that came back from an older copy, in virtual time."""
+"""Steps for entries and changes in a store restored from an older copy, in virtual time."""
 
 from typing import Any
 
@@ -8,48 +8,48 @@
 from pearward_state.crashes import CrashRecord
 
 REPLACED_S = 4.0
-"""Seconds after which a new target is known to all."""
+"""Seconds after which all daemons know a new target."""
 
 
-@when("the store goes back, away for {seconds:g} s")
-def goes_back(context: Any, seconds: float) -> None:
+@when("the store is unavailable for {seconds:g} s and restored from the copy")
+def restore_after_outage(context: Any, seconds: float) -> None:
     world = context.world
     context.before = world.holders()
     world.return_store(context.copy, seconds)
 
 
-def _count_changes(world: Any, count: int) -> None:
-    """Let operators write so many changes that concern nobody."""
+def _write_changes(world: Any, count: int) -> None:
+    """Have operators write *count* changes that affect no member."""
     for _ in range(count):
         world.drain("elsewhere")
 
 
 @when(
-    "the store counts {count:d} changes, goes back before them "
-    'and failure domain "{name}" is drained'
+    "the store counts {count:d} changes, is restored from a copy made before them and "
+    'failure domain "{name}" is drained'
 )
-def counted_lower(context: Any, count: int, name: str) -> None:
+def count_restarts_lower(context: Any, count: int, name: str) -> None:
     world = context.world
     copy = world.store.copy()
-    _count_changes(world, count)
+    _write_changes(world, count)
     world.run(1.0)
     world.store.go_back(copy)
     world.drain(name)
 
 
 @when(
-    "the store goes back while daemon {number:d} stands still, "
-    '"{name}" is drained and {count:d} changes follow'
+    'the store is restored from an older copy while daemon {number:d} is suspended, "{name}" '
+    "is drained and {count:d} changes follow"
 )
-def counts_higher(context: Any, number: int, name: str, count: int) -> None:
+def count_passes_revision(context: Any, number: int, name: str, count: int) -> None:
     world = context.world
     copy = world.store.copy()
-    _count_changes(world, 2)
+    _write_changes(world, 2)
     world.run(1.0)
     world.freeze(world.nodes[number])
     world.store.go_back(copy)
     world.drain(name)
-    _count_changes(world, count)
+    _write_changes(world, count)
     world.run(0.5)
     world.thaw(world.nodes[number])
 
@@ -70,8 +70,8 @@
     world.run(REPLACED_S)
 
 
-@then("the store has the entries of all daemons and targets as they are after {seconds:g} s")
-def entries_as_they_are(context: Any, seconds: float) -> None:
+@then("the store has the current entries of all daemons and targets after {seconds:g} s")
+def entries_current(context: Any, seconds: float) -> None:
     world = context.world
     world.run(seconds)
     items = world.store.items
@@ -83,7 +83,7 @@
     assert all(holder_key(target) in items for target in targets), list(items)
 
 
-@when("the store is copied and target {number:d} crashes under a request")
+@when("the store is copied and target {number:d} crashes during a request")
 def copy_and_crash(context: Any, number: int) -> None:
     world = context.world
     context.copy = world.store.copy()
@@ -95,7 +95,7 @@
     assert context.crash in world.store.items
 
 
-@then("the store has the crash of target {number:d} after {seconds:g} s")
-def crash_again(context: Any, number: int, seconds: float) -> None:
+@then("the store has the crash record of target {number:d} after {seconds:g} s")
+def crash_record_present(context: Any, number: int, seconds: float) -> None:
     context.world.run(seconds)
     assert context.crash in context.world.store.items, list(context.world.store.items)
--- a/features/steps/store_fallback_steps.py
+++ b/features/steps/store_fallback_steps.py
@@ -1,4 +1,4 @@
-"""Steps of releases through the store, on a store in memory and in virtual time."""
+"""Steps for releases through the store, with a store in memory and in virtual time."""
 
 from contextlib import contextmanager
 from dataclasses import replace
@@ -25,7 +25,7 @@
 
 
 class _Owner:
-    """An owner's agent, whose server accepts each grant."""
+    """Agent of an owner whose server accepts each grant."""
 
     def __init__(self) -> None:
         self.now = 1000.0
@@ -54,8 +54,8 @@
         yield
 
 
-def _pass(context: Any, seconds: float) -> bool:
-    """Let time pass until the record awaits nothing of the owner; return whether it does."""
+def _run_until_released(context: Any, seconds: float) -> bool:
+    """Advance the time until the record awaits no release of the owner; return whether it came."""
     owner = context.owner
     for _ in range(int(seconds / STEP_S)):
         owner.now += STEP_S
@@ -67,15 +67,15 @@
     return False
 
 
-def _given_away(record: CellRecord) -> CellRecord:
-    """Return the record that gives all shards of the first member to the second."""
+def _reassigned(record: CellRecord) -> CellRecord:
+    """Return the record that assigns all shards of the first member to the second."""
     version = record.version + 1
-    mine = [index for index, owner in enumerate(record.shards.owners) if owner == 0]
+    indexes = [index for index, owner in enumerate(record.shards.owners) if owner == 0]
     owners, epochs = record.shards.owners[:], record.shards.epochs[:]
-    for index in mine:
+    for index in indexes:
         owners[index], epochs[index] = 1, version
     starts = record.shards.starts
-    shards = ShardMap(starts, owners, epochs, {starts[index]: (0,) for index in mine})
+    shards = ShardMap(starts, owners, epochs, {starts[index]: (0,) for index in indexes})
     members = (replace(record.members[0], state=MemberState.RETIRED), *record.members[1:])
     return record.next_version("other:1", members=members, shards=shards)
 
@@ -91,49 +91,49 @@
     context.owner = _Owner()
     context.owner.record_written(context.first_record, context.first_record.to_bytes())
     context.fallback = StoreFallback(context.store, context.owner, SERVICE, "i0", Random(1))
-    _pass(context, STEP_S)
+    _run_until_released(context, STEP_S)
     context.store.reads.clear()
 
 
-@given("a request of its runs")
-def runs(context: Any) -> None:
+@given("one of its requests is running")
+def request_running(context: Any) -> None:
     admission = context.owner.ownership.admit(1, context.owner.now)
     context.run = context.owner.ownership.started(admission.permit)
 
 
 @when("that request ends")
-def run_ends(context: Any) -> None:
+def request_ends(context: Any) -> None:
     context.owner.act(context.owner.agent.finished(context.run, context.owner.now))
 
 
-@when("the store's record gives its shards to others")
-def given_away(context: Any) -> None:
-    context.store.put(KEY, _given_away(context.first_record).to_bytes())
+@when("the store's record assigns its shards to others")
+def reassign_shards(context: Any) -> None:
+    context.store.put(KEY, _reassigned(context.first_record).to_bytes())
 
 
-@when("the store's record gives its shards to others and its daemon hears of that")
-def given_away_heard(context: Any) -> None:
-    given_away(context)
-    record = _given_away(context.first_record)
+@when("the store's record assigns its shards to others and its daemon gets that record")
+def reassign_and_notify(context: Any) -> None:
+    reassign_shards(context)
+    record = _reassigned(context.first_record)
     context.owner.record_written(record, record.to_bytes())
 
 
 @when("{seconds:d} seconds pass and nothing changes")
-def nothing_changes(context: Any, seconds: int) -> None:
+def time_passes_unchanged(context: Any, seconds: int) -> None:
     context.store.put(KEY, context.first_record.to_bytes())
     for _ in range(int(seconds / STEP_S)):
-        _pass(context, STEP_S)
+        _run_until_released(context, STEP_S)
 
 
-@then("within {seconds:d} seconds the store's record waits for no release of its")
-def no_wait(context: Any, seconds: int) -> None:
-    assert _pass(context, seconds), context.owner.ownership.released
+@then("within {seconds:d} seconds the store's record no longer waits for its release")
+def release_recorded(context: Any, seconds: int) -> None:
+    assert _run_until_released(context, seconds), context.owner.ownership.released
 
 
 @then("for {seconds:d} second the store's record waits for its release")
 @then("for {seconds:d} seconds the store's record waits for its release")
 def still_waits(context: Any, seconds: int) -> None:
-    assert not _pass(context, seconds)
+    assert not _run_until_released(context, seconds)
 
 
 @then("it has read the record {least:d} to {most:d} times")
@@ -141,7 +141,7 @@
     assert least <= context.store.reads.count(KEY) <= most, context.store.reads
 
 
-@given("the record waits for a release of the fourth")
+@given("the record waits for the release of the fourth daemon")
 def waits_for_fourth(context: Any) -> None:
     record = context.first_record
     shards = replace(record.shards, predecessors={record.shards.starts[0]: (3,)})
@@ -151,7 +151,7 @@
     context.writer.tick()
 
 
-@when("the fourth writes its release to the store")
+@when("the fourth daemon writes its release to the store")
 def fourth_releases(context: Any) -> None:
     context.released = without_release_of(
         context.waiting, "i3", context.waiting.version, "i3:release:1"
--- a/features/steps/store_return_steps.py
+++ b/features/steps/store_return_steps.py
@@ -1,4 +1,4 @@
-"""Steps of a store that comes back from an older copy, in virtual time."""
+"""Steps for a store that is restored from an older copy, in virtual time."""
 
 import contextlib
 import sys
@@ -29,25 +29,31 @@
 from tests.fuzz.returning_store import Play
 
 NOW = 1000.0
-WAYS = {"heartbeat": GrantMode.HEARTBEAT, "call": GrantMode.CALL}
+GRANT_MODES = {"heartbeat": GrantMode.HEARTBEAT, "call": GrantMode.CALL}
 TIMING = LeaseTiming(lease_s=grants.LEASE_S, renew_s=grants.RENEW_S)
-MOVES_S = 4.0
-"""Seconds in which a target that leaves hands all of its keys over."""
+HANDOVER_S = 4.0
+"""Seconds in which a draining target hands all of its keys over."""
 
 
-@when("the store is copied and targets {one:d} and {other:d} hand over, one after the other")
+@when(
+    "the store is copied and targets {one:d} and {other:d} hand over their keys, one after "
+    "the other"
+)
 def copy_and_move(context: Any, one: int, other: int) -> None:
     world = context.world
     context.copy = world.store.copy()
     before = world.highest_fences()
     for number in (one, other):
         world.nodes[number].target.draining = True
-        world.run(MOVES_S)
+        world.run(HANDOVER_S)
     context.fences = world.highest_fences()
     assert any(context.fences[key] > fence for key, fence in before.items())
 
 
-@when("everything loses power, the store goes back and all starts again after {seconds:g} s")
+@when(
+    "all instances lose power, the store is restored from the copy and all restart after "
+    "{seconds:g} s"
+)
 def power_loss(context: Any, seconds: float) -> None:
     world = context.world
     for node in world.nodes:
@@ -60,15 +66,18 @@
         world.start_daemon(node)
 
 
-@then("the fences that were given are above all earlier ones")
-def fences_rose(context: Any) -> None:
-    # Each grant was checked when it was taken; this shows that there were some.
+@then("the fences granted since are above all earlier ones")
+def fences_above_earlier(context: Any) -> None:
+    # The world checks each grant as it is taken; this shows that there were grants.
     now = context.world.highest_fences()
     assert all(now[key] > fence for key, fence in context.fences.items()), now
 
 
-@when("all daemons are killed, the store goes back and they start again after {seconds:g} s")
-def daemons_start_again(context: Any, seconds: float) -> None:
+@when(
+    "all daemons are killed, the store is restored from the copy and they restart after "
+    "{seconds:g} s"
+)
+def daemons_restart(context: Any, seconds: float) -> None:
     world = context.world
     for node in world.nodes:
         world.end_daemon(node)
@@ -78,24 +87,24 @@
         world.start_daemon(node)
 
 
-# -- plays ---------------------------------------------------------------------------------
+# -- generated scenarios -------------------------------------------------------------------
 
 
-def _begins_when_released(self: GrantManager, owned: Any, now: float) -> bool:
-    """Whether keys can be granted, by their predecessors alone."""
+def _ready_when_released(self: GrantManager, owned: Any, now: float) -> bool:
+    """Return whether keys can be granted if only their predecessors are considered."""
     begun = self._is_granted(owned)
     return begun or all(self._has_released(p, owned, now) for p in owned.predecessors)
 
 
 RULES: dict[str, tuple[Any, str, Callable[..., bool]]] = {
-    "nobody begins keys while a map is unsettled": (GrantManager, "_ready", _begins_when_released),
+    "nobody begins keys while a map is unsettled": (GrantManager, "_ready", _ready_when_released),
     "instances wait out what lost maps let them grant": (
         FormerLeases, "have_ended", lambda self, key_map, instances: True,
     ),
 }  # fmt: skip
 
 
-@given('the rule "{rule}" of returns is removed')
+@given('the rule "{rule}" for a restored store is removed')
 def rule_removed(context: Any, rule: str) -> None:
     if rule == "none":
         return
@@ -105,39 +114,42 @@
     context.add_cleanup(patch.stop)
 
 
-@when("the store is copied and target {number:d} hands over")
+@when("the store is copied and target {number:d} hands over its keys")
 def copy_and_hand_over(context: Any, number: int) -> None:
     world = context.world
     context.copy = world.store.copy()
     world.nodes[number].target.draining = True
-    world.run(MOVES_S)
+    world.run(HANDOVER_S)
 
 
-@when("the store goes back, daemon {number:d} hears of nothing and the others start again")
-def hears_of_nothing(context: Any, number: int) -> None:
+@when(
+    "the store is restored from the copy, daemon {number:d} is cut off from peers and store "
+    "and the others restart"
+)
+def cut_off_one(context: Any, number: int) -> None:
     world = context.world
-    alone = world.nodes[number]
-    alone.cut_from_peers = alone.cut_from_store = True
+    isolated = world.nodes[number]
+    isolated.cut_from_peers = isolated.cut_from_store = True
     world.store.go_back(context.copy)
     world.store.remove(member_key(f"instance-{number}"))
     for node in world.nodes:
-        if node is not alone:
+        if node is not isolated:
             world.start_daemon(node)
 
 
 @then("two holders of a key {are} found within {seconds:g} s")
 def two_holders(context: Any, are: str, seconds: float) -> None:
-    broken = ""
+    violation = ""
     try:
         context.world.run(seconds)
     except AssertionError as error:
-        broken = str(error)
-    assert bool(broken) == (are == "are"), broken
+        violation = str(error)
+    assert bool(violation) == (are == "are"), violation
 
 
-@when("the play of seed {seed:d} with keys by {way} is run")
-def play(context: Any, seed: int, way: str) -> None:
-    context.play = Play(seed, WAYS[way])
+@when("the generated scenario of seed {seed:d} with keys by {way} is run")
+def run_generated(context: Any, seed: int, way: str) -> None:
+    context.play = Play(seed, GRANT_MODES[way])
     context.broken = ""
     try:
         context.play.run()
@@ -145,8 +157,8 @@
         context.broken = f"{error}: {context.play.told}"
 
 
-@then("it breaks no promise")
-def keeps_promises(context: Any) -> None:
+@then("it violates no invariant")
+def violates_nothing(context: Any) -> None:
     assert not context.broken, context.broken
 
 
@@ -158,8 +170,8 @@
     assert next_number(number, 0) == following
 
 
-@then("in eras {first:d} to {last:d} each number is above all that any earlier era can give")
-def above_earlier(context: Any, first: int, last: int) -> None:
+@then("in eras {first:d} to {last:d} each number is above all possible numbers of earlier eras")
+def numbers_above_earlier(context: Any, first: int, last: int) -> None:
     for era in range(first, last + 1):
         highest = era_start(era) - 1
         assert next_number(0, era) > highest == next_number(highest - 1, era - 1)
@@ -176,7 +188,7 @@
 
 
 def _in_era(key_map: KeyMap, era: int) -> KeyMap:
-    """Return a map as the planner numbers it in a later era."""
+    """Return a map with the number that the planner gives it in a later era."""
     version = next_number(key_map.version, era)
     return replace(key_map, version=version, fence=era_start(era), unsettled=True)
 
@@ -190,21 +202,21 @@
     context.now = NOW
 
 
-@when("its hold has run out and its daemon adopts that map as era 2 numbers it")
+@when("its hold has expired and its daemon adopts that map as numbered in era 2")
 def adopts_too_late(context: Any) -> None:
     context.now = NOW + context.hold_s * grants.CLOCK_SLACK
     adopts_in_time(context)
 
 
-@when("its daemon adopts that map as era 2 numbers it")
+@when("its daemon adopts that map as numbered in era 2")
 def adopts_in_time(context: Any) -> None:
     context.next = _in_era(context.map, 2)
     context.grant_manager.adopt(context.next, context.now)
 
 
 def _granted(context: Any) -> list[int]:
-    given_rows, _ = context.grant_manager.grant(context.now, context.now)
-    return [row.fence for row in given_rows]
+    rows, _ = context.grant_manager.grant(context.now, context.now)
+    return [row.fence for row in rows]
 
 
 @then("it is granted nothing, neither while the map is unsettled nor after")
@@ -227,16 +239,16 @@
     assert [era_of(fence) for fence in _granted(context)] == [era]
 
 
-@when("its daemon adopts a map of era 2 in which they are another one's")
-def another_ones(context: Any) -> None:
-    taken = tuple(replace(r, owner="t1", fence=next_number(0, 2)) for r in context.map.ranges)
-    context.next = replace(_in_era(context.map, 2), ranges=taken, fence=next_number(0, 2))
+@when("its daemon adopts a map of era 2 in which another target owns them")
+def owned_by_another(context: Any) -> None:
+    reassigned = tuple(replace(r, owner="t1", fence=next_number(0, 2)) for r in context.map.ranges)
+    context.next = replace(_in_era(context.map, 2), ranges=reassigned, fence=next_number(0, 2))
     context.grant_manager.adopt(context.next, context.now)
     context.now += 60.0
 
 
-@then("it lets nobody have them by map {number:d} of era {era:d}")
-def lets_nobody_have(context: Any, number: int, era: int) -> None:
+@then("it does not report them released under map {number:d} of era {era:d}")
+def not_released(context: Any, number: int, era: int) -> None:
     def release(version: int) -> Any:
         return context.grant_manager.released_rows(
             "t0", 0, KEY_SPACE - 1, context.map.fence, version, context.now
@@ -247,11 +259,11 @@
 
 
 def _renew(context: Any, number: int, era: int, known: int, now: float) -> bool:
-    ask = Renew("service", 1, era_start(era) + number, 0, 0, "t0")
-    return bool(context.witness.on_renew(ask, known, now).granted)
+    message = Renew("service", 1, era_start(era) + number, 0, 0, "t0")
+    return bool(context.witness.on_renew(message, known, now).granted)
 
 
-@given("a witness that has renewed an owner by map {number:d} of era {era:d}")
+@given("a witness that has renewed an owner under map {number:d} of era {era:d}")
 def witness_renewed(context: Any, number: int, era: int) -> None:
     context.witness = TargetWitness(NOW - 60.0, TIMING)
     context.witness.map_read(era)
@@ -260,15 +272,15 @@
     assert _renew(context, number, era, context.known, NOW)
 
 
-@when("it has renewed that owner by map 1 of era 2 and acts on map 9 of era 1")
+@when("it has renewed that owner under map 1 of era 2 and acts on map 9 of era 1")
 def renewed_by_later(context: Any) -> None:
     context.known = era_start(1) + 9
     assert _renew(context, 1, 2, context.known, NOW + 1.0)
-    # What was granted by the older map has run out, what was granted by the later one has not.
+    # Grants under the older map have expired, grants under the later one have not.
     context.now = NOW + TIMING.lease_s + 0.1
 
 
-@when("it acts on map 1 of era 2 and its grants have run out")
+@when("it acts on map 1 of era 2 and its grants have expired")
 def acts_on_later(context: Any) -> None:
     context.known = era_start(2) + 1
     context.now = NOW + 60.0
@@ -280,17 +292,17 @@
 
 
 def _released(context: Any, owner: str, version: int, now: float) -> bool:
-    ask = AskRelease("service", owner, version)
-    return bool(context.witness.on_ask_release(ask, context.known, now).released)
+    message = AskRelease("service", owner, version)
+    return bool(context.witness.on_ask_release(message, context.known, now).released)
 
 
-@then("it releases the owner to nobody by map {number:d} of era {era:d}")
-def releases_to_nobody(context: Any, number: int, era: int) -> None:
+@then("it does not release the owner under map {number:d} of era {era:d}")
+def does_not_release(context: Any, number: int, era: int) -> None:
     assert not _released(context, "t0", era_start(era) + number, context.now)
 
 
-@then("it says after {seconds:g} s, and not before, that no lease runs by maps of era 1")
-def says_when_over(context: Any, seconds: float) -> None:
+@then("it reports after {seconds:g} s, and not before, that no lease under maps of era 1 is left")
+def reports_no_lease(context: Any, seconds: float) -> None:
     assert not _released(context, "", context.known, NOW + seconds - 0.05)
     assert _released(context, "", context.known, NOW + seconds)
 
@@ -301,38 +313,39 @@
     context.witness.map_read(era)
 
 
-@then("it renews an owner by map 1 of era 2 and by no map of era 1")
+@then("it renews an owner under map 1 of era 2 and under no map of era 1")
 def renews_only_later(context: Any) -> None:
     assert not _renew(context, 9, 1, era_start(1) + 9, NOW)
     assert _renew(context, 1, 2, era_start(2) + 1, NOW)
 
 
 @when(
-    "the next write of the planner is done only after the store has gone back and was written again"
+    "the next write of the planner is applied only after the store was restored from an "
+    "older copy and written again"
 )
-def write_done_late(context: Any) -> None:
+def write_applied_late(context: Any) -> None:
     world = context.world
     key = key_map_key(SERVICE)
     context.copy = world.store.copy()
-    late: list[Callable[[], Any]] = []
+    delayed: list[Callable[[], Any]] = []
     commit = world.store.commit
 
-    def held_back(expected: Any, puts: Any) -> int:
-        if not late and any(put.key == key for put in puts):
-            late.append(lambda: commit(expected, puts))
+    def delayed_commit(expected: Any, puts: Any) -> int:
+        if not delayed and any(put.key == key for put in puts):
+            delayed.append(lambda: commit(expected, puts))
         return int(commit(expected, puts))
 
-    with mock.patch.object(world.store, "commit", held_back):
+    with mock.patch.object(world.store, "commit", delayed_commit):
         world.nodes[1].target.draining = True
         world.run(2.0)
-    assert late
+    assert delayed
     world.store.go_back(context.copy)
     world.run(3.0)
-    # The same condition holds once more: the store counts up to the same revision.
+    # The expected revision matches again, as the restored store counts up to the same one.
     item = world.store.items[key]
     world.store.items[key] = replace(item, revision=context.copy.items[key].revision)
     with contextlib.suppress(CasConflict):
-        late[0]()
+        delayed[0]()
     world.store.items[key] = replace(world.store.items[key], revision=item.revision)
 
 
