--- a/features/keys_come.feature
+++ b/features/keys_come.feature
@@ -1,10 +1,11 @@
-Feature: Requests that wait for keys look again when those keys come
+Feature: Parked requests are checked again when their keys are granted
 
-  # After all daemons had been started again one had 85 ranges to grant by calls. Each answer let all
-  # requests that waited look again, and the daemon stood still for 1.2 s; then it read requests whose
-  # callers had left meanwhile, and sent them on.
-  Scenario: Keys that come by many calls
-    Given a daemon whose target is to get 85 ranges by calls, and 500 requests that wait for them
-    When the calls are answered, one after the other
-    Then each of the 500 requests has looked once
-    And no more than 16 calls were ever under way
+  # Guards against a daemon that blocks while it checks its parked requests. A daemon that has restarted
+  # with all others may have 85 ranges to grant by calls. If each reply makes it check all parked
+  # requests again, it is blocked for 1.2 s, and then reads requests whose callers have disconnected
+  # meanwhile and forwards them.
+  Scenario: Keys that are granted by many calls
+    Given a daemon whose target is to be granted 85 ranges by calls, and 500 requests parked for them
+    When the calls get their replies, one after the other
+    Then each of the 500 requests was checked for admission once
+    And no more than 16 calls were ever in flight
--- a/features/steps/attached_steps.py
+++ b/features/steps/attached_steps.py
@@ -1,4 +1,4 @@
-"""Steps of calls to a target that another process may have followed: sockets are the kernel's."""
+"""Steps for calls to a target whose process may have been replaced, over real sockets."""
 
 import socket
 from contextlib import suppress
@@ -42,34 +42,34 @@
         protocol.makeConnection(transport)
         return protocol
 
-    def forget(self) -> None:
-        """Look only at what comes from now on."""
+    def discard_received(self) -> None:
+        """Discard what was received so far."""
         self._received = b""
 
-    def end(self) -> None:
-        """The kernel closes what the process had."""
+    def terminate(self) -> None:
+        """Close all sockets, as the kernel does when a process ends."""
         for connection in (self._listening, *self.accepted):
             connection.close()
 
     @property
     def received(self) -> bytes:
-        """What has reached this process on all connections."""
+        """Bytes that have reached this process on all connections."""
         for connection in self.accepted:
-            # One that was reset has nothing for this process any more.
+            # A connection that was reset delivers nothing more.
             with suppress(OSError):
                 self._received += connection.recv(BUFFER)
         return self._received
 
 
 def _connect(context: Any) -> None:
-    """Complete all connections that are being made to the process that stands now."""
-    made = context.reactor.tcpClients
-    while made:
-        context.connection = context.process.connect(made.pop(0)[2], context.reactor)
+    """Complete all connections in progress, to the present process."""
+    attempts = context.reactor.tcpClients
+    while attempts:
+        context.connection = context.process.connect(attempts.pop(0)[2], context.reactor)
 
 
-def _turn(context: Any) -> None:
-    """Let the loop write what it has been given."""
+def _run_loop(context: Any) -> None:
+    """Write what is queued for the event loop."""
     for writer in list(context.reactor.writers):
         writer.doWrite()
 
@@ -79,18 +79,18 @@
     context.reactor = MemoryReactorClock()
     context.grants = PlatformGrants.from_config(context.reactor, "127.0.0.1:1")
     context.process = _Process()
-    context.add_cleanup(lambda: context.process.end())
+    context.add_cleanup(lambda: context.process.terminate())
 
 
-@when("a heartbeat of it is heard")
-def heard(context: Any) -> None:
+@when("a heartbeat of it is received")
+def heartbeat_received(context: Any) -> None:
     context.grants.attach()
     _connect(context)
     assert context.grants.attached
 
 
-@when("{seconds:g} s later a heartbeat is heard and the connection of that moment is reset")
-def reset(context: Any, seconds: float) -> None:
+@when("{seconds:g} s later a heartbeat is received and the connection made for it is reset")
+def connection_reset(context: Any, seconds: float) -> None:
     with mock.patch.object(grants, "boot_time", lambda: boot_time() + seconds):
         context.grants.attach()
         _connect(context)
@@ -98,41 +98,41 @@
     context.process.accepted[-1].close()
 
 
-@when("its process ends, unread by the daemon, and the next one stands at its address")
+@when("its process ends, unnoticed by the daemon, and the next one listens at its address")
 def next_process(context: Any) -> None:
-    context.process.end()
+    context.process.terminate()
     context.process = _Process()
 
 
 @then("a grant is sent to its process")
-def sent(context: Any) -> None:
-    answer = _sent(context)
-    assert not answer.called
+def sent_to_process(context: Any) -> None:
+    reply = _grant_sent(context)
+    assert not reply.called
 
 
 def _grant(context: Any) -> Any:
     return context.grants.grant(TARGET, ROW, HOLD_S, boot_time() + CALL_SEND_TIMEOUT_S)
 
 
-def _sent(context: Any) -> Any:
-    """Make a grant that reaches the process, over a new connection or a kept one."""
-    answer = _grant(context)
+def _grant_sent(context: Any) -> Any:
+    """Send a grant that reaches the process, over a new connection or a kept one."""
+    reply = _grant(context)
     _connect(context)
-    _turn(context)
+    _run_loop(context)
     assert b"POST /pearward/grant" in context.process.received
-    return answer
+    return reply
 
 
-@when("its connection for calls is kept")
-def kept(context: Any) -> None:
-    answer = _sent(context)
+@when("its connection for calls is kept open")
+def connection_kept(context: Any) -> None:
+    reply = _grant_sent(context)
     context.connection.dataReceived(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-    assert answer.result.verdict is GrantVerdict.TAKEN
-    context.process.forget()
+    assert reply.result.verdict is GrantVerdict.TAKEN
+    context.process.discard_received()
 
 
-@then("a grant is sent to its process before the loop turns")
-def in_kernel(context: Any) -> None:
+@then("a grant is sent to its process before the event loop runs again")
+def sent_before_loop_runs(context: Any) -> None:
     _assert_sent_at_once(context)
 
 
@@ -142,25 +142,25 @@
     assert b"POST /pearward/grant" in context.process.received
 
 
-@then("a grant whose connection stands {seconds:g} s later is not sent")
-def late(context: Any, seconds: float) -> None:
-    answer = _grant(context)
+@then("a grant whose connection is established {seconds:g} s later is not sent")
+def not_sent_late(context: Any, seconds: float) -> None:
+    reply = _grant(context)
     with mock.patch.object(grants, "boot_time", lambda: boot_time() + seconds):
         _connect(context)
-    _turn(context)
+    _run_loop(context)
     assert context.process.received == b""
-    assert answer.result.verdict is GrantVerdict.NOT_SENT, answer.result
+    assert reply.result.verdict is GrantVerdict.NOT_SENT, reply.result
 
 
 @then("a grant is not sent, and no connection to the next process carries one")
 def not_sent(context: Any) -> None:
-    answer = _grant(context)
+    reply = _grant(context)
     _connect(context)
-    _turn(context)
-    assert answer.result.verdict is GrantVerdict.NOT_SENT, answer.result
+    _run_loop(context)
+    assert reply.result.verdict is GrantVerdict.NOT_SENT, reply.result
     assert context.process.received == b""
 
 
 @then("the next one is sent on that connection")
-def next_on_it(context: Any) -> None:
+def next_on_same_connection(context: Any) -> None:
     _assert_sent_at_once(context)
--- a/features/steps/crash_steps.py
+++ b/features/steps/crash_steps.py
@@ -1,4 +1,4 @@
-"""Steps with real processes: requests that crash the targets that run them."""
+"""Steps for requests that crash the targets that run them, with real processes."""
 
 import json
 import threading
@@ -12,9 +12,9 @@
 
 SERVICES = {"pooled": "sheets", "keyed": "roster"}
 KEY = "20000"
-ENDS = 3
-IN_TOUCH_S = 3.0
-"""Seconds after the third end from which on the request may reach no further target."""
+CRASHES = 3
+PROPAGATION_S = 3.0
+"""Seconds after the third crash from which on the request must reach no further target."""
 WORK_MS = 100
 WAIT_S = 20.0
 
@@ -33,7 +33,7 @@
 
 
 def _send(context: Any, node: MeshNode, path: str, kind: str) -> Any:
-    """Send a request under an id of its own; its content is what the path and the key say."""
+    """Send a request under a new id; its content depends only on the path and the key."""
     unsafe = kind == "unsafe"
     return _cluster(context).call(
         node,
@@ -48,13 +48,13 @@
     )
 
 
-def _lines(context: Any, what: str) -> list[dict[str, Any]]:
+def _lines(context: Any, event: str) -> list[dict[str, Any]]:
     lines = _cluster(context).log_lines()
-    return [line for line in lines if line["message_type"] == f"pearward:{what}"]
+    return [line for line in lines if line["message_type"] == f"pearward:{event}"]
 
 
 def _runs(context: Any) -> list[dict[str, Any]]:
-    """Return what all targets wrote down of what they ran, whether they live or not."""
+    """Return the runs that all targets, running or ended, have logged."""
     runs = []
     for log in _cluster(context).logs.glob("*-target.log"):
         for line in log.read_text(encoding="utf-8").splitlines():
@@ -69,7 +69,7 @@
 
 
 def _targets_of(context: Any, prefix: str) -> set[str]:
-    """Return the targets that wrote down a run of a path that begins with *prefix*."""
+    """Return the targets that have logged a run of a path that begins with *prefix*."""
     return {run["target"] for run in _runs(context) if run.get("path", "").startswith(prefix)}
 
 
@@ -78,8 +78,8 @@
     return [n for n in nodes if n.target is not None and n.target.poll() is not None]
 
 
-def _start_again(context: Any, service: str) -> int:
-    """Start the ended targets of a service again, once their daemons know; return how many."""
+def _restart_targets(context: Any, service: str) -> int:
+    """Restart the ended targets of a service, wait until it is served, and return how many."""
     ended = _ended(context, service)
     for node in ended:
         _cluster(context).start_target(node)
@@ -109,7 +109,7 @@
     threads: list[threading.Thread] = []
 
     def one_runs_at_each() -> bool:
-        """Send one more, at the daemons by turns: a target that is free may take the next one."""
+        """Send one more request, to each daemon in turn: a free target may get the next one."""
         path = f"/{service}/{kind}/other-{len(threads)}?work_ms=1500"
         sent_at = nodes[len(threads) % len(nodes)]
         threads.append(threading.Thread(target=_send, args=(context, sent_at, path, kind)))
@@ -123,22 +123,24 @@
     _send(context, nodes[0], context.path, kind)
     for thread in threads:
         thread.join()
-    wait_until(lambda: len(_lines(context, "target_crashed")) > known, "the end to be told", WAIT_S)
+    wait_until(
+        lambda: len(_lines(context, "target_crashed")) > known, "the crash to be logged", WAIT_S
+    )
     context.crash = _lines(context, "target_crashed")[-1]
-    _start_again(context, service)
+    _restart_targets(context, service)
 
 
-@then("the daemon beside that target tells both as running when it ended")
-def tells_both(context: Any) -> None:
-    (bad,) = _arrivals(context, context.path)
-    assert bad["target"] == context.crash["target"], (bad, context.crash)
+@then("the daemon of that target reports both as running when it ended")
+def reports_both(context: Any) -> None:
+    (crashing,) = _arrivals(context, context.path)
+    assert crashing["target"] == context.crash["target"], (crashing, context.crash)
     running = [
         run["id"]
         for run in _runs(context)
-        if run.get("target") == bad["target"] and "other-" in run.get("path", "")
+        if run.get("target") == crashing["target"] and "other-" in run.get("path", "")
     ]
     assert running, "no other request ran at the target that ended"
-    assert set(context.crash["requests"]) == {bad["id"], *running}, (context.crash, running)
+    assert set(context.crash["requests"]) == {crashing["id"], *running}, (context.crash, running)
     assert len(set(context.crash["contents"])) == len(running) + 1, context.crash
 
 
@@ -149,7 +151,7 @@
 
 
 def _route_to(context: Any, service: str) -> None:
-    """Have a route lead to a service, and wait until it does at all daemons."""
+    """Configure the route to lead to a service, and wait until it does so at all daemons."""
     cluster = _cluster(context)
     cluster.configure(
         moving={
@@ -178,37 +180,39 @@
     _route_to(context, context.service)
 
 
-@when('a "{kind}" request to the {what} service has crashed three targets and 3 s have passed')
-def crash_three(context: Any, kind: str, what: str) -> None:
-    context.service = SERVICES[what]
+@when(
+    'a "{kind}" request to the {service_kind} service has crashed three targets and 3 s have passed'
+)
+def crash_three(context: Any, kind: str, service_kind: str) -> None:
+    context.service = SERVICES[service_kind]
     context.kind, context.path = kind, _path(context.service, kind)
     _crash_three(context)
 
 
 def _crash_three(context: Any) -> None:
-    """Send the request until three targets have ended, then wait."""
+    """Send the request until three targets have crashed, then wait."""
     service, kind = context.service, context.kind
-    ends = 0
-    while ends < ENDS:
-        node = _cluster(context).nodes[ends]
+    crashes = 0
+    while crashes < CRASHES:
+        node = _cluster(context).nodes[crashes]
         known = len(_lines(context, "target_crashed"))
         _send(context, node, context.path, kind)
-        # One that may be repeated has been sent to a second target as well.
+        # A repeatable request is also sent to a second target.
         wait_until(lambda: _ended(context, service), "a target to end", WAIT_S)
         time.sleep(2 * WORK_MS / 1000)
         told = known + len(_ended(context, service))
         wait_until(
             lambda told=told: len(_lines(context, "target_crashed")) >= told,  # type: ignore[misc]
-            "the ends to be told", WAIT_S,
+            "the crashes to be logged", WAIT_S,
         )  # fmt: skip
-        ends += _start_again(context, service)
-    time.sleep(IN_TOUCH_S)
+        crashes += _restart_targets(context, service)
+    time.sleep(PROPAGATION_S)
     context.arrived = len(_arrivals(context, context.path))
-    assert context.arrived == ends, (context.arrived, ends)
+    assert context.arrived == crashes, (context.arrived, crashes)
 
 
-@when("it comes twice more at every daemon")
-def comes_again(context: Any) -> None:
+@when("it is sent twice more to every daemon")
+def send_again(context: Any) -> None:
     context.replies = [
         _send(context, node, context.path, context.kind)
         for _ in range(2)
@@ -219,22 +223,22 @@
 @then("no target has received it since")
 def none_since(context: Any) -> None:
     since = len(_arrivals(context, context.path)) - context.arrived
-    # Whatever failed, the next scenario finds living targets.
+    # Restarted before the check, so that the next scenario has running targets even if it fails.
     time.sleep(2 * WORK_MS / 1000)
-    _start_again(context, context.service)
-    assert since == 0, f"{since} arrivals after the end of {context.arrived} targets"
+    _restart_targets(context, context.service)
+    assert since == 0, f"{since} arrivals after the crashes of {context.arrived} targets"
 
 
-@then("each of its callers was refused and told when to come back")
+@then("each of its callers was refused and told when to retry")
 def refused(context: Any) -> None:
     for reply in context.replies:
         assert reply.status == 503, reply
         assert float(reply.headers["Retry-After"]) > 1.0, reply
 
 
-@then("every daemon serves other requests of the {what} service")
-def others_served(context: Any, what: str) -> None:
-    service = SERVICES[what]
+@then("every daemon serves other requests of the {service_kind} service")
+def others_served(context: Any, service_kind: str) -> None:
+    service = SERVICES[service_kind]
     assert _serves(context, service)
     keys = range(0, 65_536, 4096)
     for node in _cluster(context).nodes:
--- a/features/steps/keys_come_steps.py
+++ b/features/steps/keys_come_steps.py
@@ -1,4 +1,4 @@
-"""Steps of requests that wait at a daemon for the keys of its target, in virtual time."""
+"""Steps for requests parked at a daemon until its target holds their keys, in virtual time."""
 
 import sys
 from collections import Counter
@@ -22,12 +22,12 @@
 from tests.fuzz.mesh_world import begin_world
 
 DEADLINE_MS = 8000
-ANSWERED_S = 0.1
-"""Seconds within which every call is answered."""
+REPLIES_S = 0.1
+"""Seconds within which every call gets its reply."""
 
 
 def _in_ranges(former: KeyMap, owner: str, count: int) -> KeyMap:
-    """Return the next map, in which every range has a fence of its own."""
+    """Return the next map, in which each range has its own fence."""
     size = KEY_SPACE // count
     ranges = tuple(
         KeyRange(
@@ -49,9 +49,11 @@
     )  # fmt: skip
 
 
-@given("a daemon whose target is to get {ranges:d} ranges by calls, "
-       "and {count:d} requests that wait for them")  # fmt: skip
-def waiting(context: Any, ranges: int, count: int) -> None:
+@given(
+    "a daemon whose target is to be granted {ranges:d} ranges by calls, and {count:d} "
+    "requests parked for them"
+)
+def park_requests(context: Any, ranges: int, count: int) -> None:
     stack = ExitStack()
     context.add_cleanup(stack.close)
     world = context.world = begin_world(stack, 1, GrantTiming(), way=GrantMode.CALL)
@@ -65,11 +67,11 @@
     local_target.adopt(
         _in_ranges(local_target.grant_manager.key_map, local_target.grant_manager.target, ranges)
     )
-    context.looks = Counter()
+    context.checks = Counter()
     admit = TargetRequest.admit
 
     def counted(request: TargetRequest) -> None:
-        context.looks[request] += 1
+        context.checks[request] += 1
         admit(request)
 
     context.requests = [
@@ -83,19 +85,19 @@
     stack.enter_context(mock.patch.object(TargetRequest, "start", lambda request: None))
 
 
-@when("the calls are answered, one after the other")
-def answered(context: Any) -> None:
-    context.world.run(ANSWERED_S)
+@when("the calls get their replies, one after the other")
+def calls_get_replies(context: Any) -> None:
+    context.world.run(REPLIES_S)
 
 
-@then("each of the {count:d} requests has looked once")
-def looked_once(context: Any, count: int) -> None:
-    assert set(context.looks) == set(context.requests), len(context.looks)
-    most = max(context.looks.values())
-    assert most == 1, f"{context.looks.total()} looks of {count} requests, up to {most} each"
+@then("each of the {count:d} requests was checked for admission once")
+def checked_once(context: Any, count: int) -> None:
+    assert set(context.checks) == set(context.requests), len(context.checks)
+    most = max(context.checks.values())
+    assert most == 1, f"{context.checks.total()} checks of {count} requests, up to {most} each"
 
 
-@then("no more than {most:d} calls were ever under way")
-def few_under_way(context: Any, most: int) -> None:
+@then("no more than {most:d} calls were ever in flight")
+def few_in_flight(context: Any, most: int) -> None:
     grants = context.world.nodes[0].grants
     assert 0 < grants.most_under_way <= most, grants.most_under_way
--- a/features/steps/lease_term_steps.py
+++ b/features/steps/lease_term_steps.py
@@ -1,4 +1,4 @@
-"""Steps of an owner whose lease ends and begins anew, on the cores alone."""
+"""Steps for an owner whose lease expires and begins a new term, on the state machines alone."""
 
 from typing import Any
 
@@ -19,13 +19,13 @@
     context.lease.renewal_granted(NAME, nonce, context.now)
 
 
-def _taken(context: Any) -> None:
+def _take_keys(context: Any) -> None:
     ownership = context.ownership
     ownership.server_granted(ownership.grantable_shards(), context.lease.term, context.now)
 
 
 @given("an owner that serves all its keys")
-def serving(context: Any) -> None:
+def begin_serving(context: Any) -> None:
     joiners = (_joiner(NAME),)
     record = _planned(CellRecord(SERVICE, SERVICE), _table([NAME]), joiners=joiners)
     name = record.members[0].incarnation
@@ -35,12 +35,12 @@
     context.ownership = Ownership(name, context.lease)
     context.ownership.adopt(record)
     _renew(context)
-    _taken(context)
+    _take_keys(context)
     serves_all(context)
 
 
-@when("its lease runs out and begins anew")
-def anew(context: Any) -> None:
+@when("its lease expires and a new term begins")
+def begin_new_term(context: Any) -> None:
     context.now += 2 * TIMING.lease_s
     assert not context.lease.held(context.now)
     _renew(context)
@@ -49,7 +49,7 @@
 
 @when("its server has taken the keys again")
 def taken_again(context: Any) -> None:
-    _taken(context)
+    _take_keys(context)
 
 
 @then("it serves no key, and a request for one waits")
