--- a/features/cut_off.feature
+++ b/features/cut_off.feature
@@ -15,18 +15,18 @@
     Then "acct-1" is served by another server
     And the daemon that is cut off serves nothing
     And every key of "premview" stays served for 12 seconds
-    When all links are mended
+    When all link faults are removed
     Then every key of "premview" is served again
-    And the promises hold for "premview"
+    And the guarantees hold for "premview"
 
   Scenario: The coordinator is the one that is cut off
     Given callers send requests to "premview"
     When the coordinator of "premview" is cut off from all peers
     Then every key of "premview" is served again
     And every key of "premview" stays served for 8 seconds
-    When all links are mended
+    When all link faults are removed
     Then every key of "premview" is served again
-    And the promises hold for "premview"
+    And the guarantees hold for "premview"
 
   # It reaches all others, so none of its witnesses misses it; no answer reaches it, so it has no
   # lease. It went on being an owner that serves nothing: of 118 requests in 12 s, 20 were not
@@ -37,6 +37,6 @@
     When the links towards the owner of "acct-1" are cut
     Then "acct-1" is served by another server
     And every key of "premview" stays served for 6 seconds
-    When all links are mended
+    When all link faults are removed
     Then every key of "premview" is served again
-    And the promises hold for "premview"
+    And the guarantees hold for "premview"
--- a/features/cut_off_alone.feature
+++ b/features/cut_off_alone.feature
@@ -18,6 +18,6 @@
     Then "acct-1" is served by another server
     And the daemon that is cut off serves nothing
     And every key of "premview" stays served for 12 seconds
-    When all links are mended
+    When all link faults are removed
     Then every key of "premview" is served again
-    And the promises hold for "premview"
+    And the guarantees hold for "premview"
--- a/features/new_services.feature
+++ b/features/new_services.feature
@@ -31,7 +31,7 @@
     Then that answer is not run, with a time to come back
     When the platform is up again
     And "GET" for key "crew-1" of "nobody-knows" is sent to the first daemon
-    Then the answer is 404 "not-run" because of "unknown-service"
+    Then the response is 404 "not-run" because of "unknown-service"
 
   Scenario: A body that comes while a service is looked up is kept
     When the operator declares a new service "late-comer"
--- a/features/request_path.feature
+++ b/features/request_path.feature
@@ -4,18 +4,18 @@
   Scenario: Every daemon serves every service
     When each daemon is asked for 20 keys of "roster-app"
     And each daemon is asked 10 times for "paypost"
-    Then every answer is served, whole and the caller's own
+    Then every response is served, complete and matches its request
     And all runs of a key were at one server
 
-  Scenario: The answer names where the owner takes callers
+  Scenario: The response names the owner's address for callers
     When "GET" for key "crew-1" of "roster-app" is sent to the first daemon
-    And the same is sent to the owner that the answer names
-    Then every answer is served, whole and the caller's own
-    And the last answer names the daemon that it came from
+    And the same request is sent to the owner that the response names
+    Then every response is served, complete and matches its request
+    And the last response names the daemon that sent it
 
-  Scenario Outline: Bad input gets a clear error and was not run
+  Scenario Outline: A bad request gets a clear error and is not run
     When "<method>" for key "<key>" of "<service>" is sent with "<header>" set to "<value>"
-    Then the answer is <status> "not-run" because of "<reason>"
+    Then the response is <status> "not-run" because of "<reason>"
 
     Examples:
       | method | key    | service    | header               | value  | status | reason          |
@@ -34,48 +34,48 @@
     When a long download from "paypost" is under way
     And garbage is sent to the peer port of every daemon
     And another version's greeting is sent to the peer port of every daemon
-    Then the download ends whole and the caller's own
+    Then the download is complete and matches its request
 
-  Scenario: A body that is cut short never runs
-    When a caller promises 200000 bytes to "paypost" and leaves after 100000
-    And a caller promises 2000 bytes to "paypost" and leaves after 1000
-    Then nothing of these callers has run
+  Scenario: A request whose body is cut short never runs
+    When a caller announces a body of 200000 bytes to "paypost" and disconnects after 100000
+    And a caller announces a body of 2000 bytes to "paypost" and disconnects after 1000
+    Then no request of these callers has run
 
-  Scenario: A long body and a long answer stream both ways
+  Scenario: A long request body and a long response are streamed
     When 3000000 bytes are posted to "paypost" through the first daemon
     And 20000000 bytes are fetched from "paypost" through each daemon
-    Then every answer is served, whole and the caller's own
+    Then every response is served, complete and matches its request
 
-  Scenario: An answer that the server breaks off never passes for whole
-    When an answer of 5000000 bytes from "paypost" breaks off after 2000000
-    Then the answer is broken off
+  Scenario: A response that the server breaks off is never taken for complete
+    When a response of 5000000 bytes from "paypost" breaks off after 2000000
+    Then the response is broken off
 
-  Scenario: A short answer that the server breaks off is unknown
-    When an answer of 9000 bytes from "paypost" breaks off after 4000, not repeatable
-    Then the answer is 502 "unknown" because of "server-failed"
+  Scenario: A short response that the server breaks off has the outcome unknown
+    When a response of 9000 bytes from "paypost" breaks off after 4000, not repeatable
+    Then the response is 502 "unknown" because of "server-failed"
 
-  Scenario: A deadline that passes at the server is answered at once as unknown
+  Scenario: A deadline that passes at the server gives an immediate response with the outcome unknown
     When "POST" to "paypost" that works for 3000 ms has a deadline of 300 ms
-    Then the answer is 504 "unknown" because of "deadline"
-    And it came within 2000 ms
+    Then the response is 504 "unknown" because of "deadline"
+    And the response arrived within 2000 ms
 
-  Scenario: A request that is not repeatable runs once, whatever is sent again
+  Scenario: A request that is not repeatable runs once, however often it is sent
     When "POST" with one id is sent to key "crew-9" of "roster-app" through each daemon
-    Then one answer is served and the others are "already-run"
-    And that id ran once
+    Then one response is served and the others are "already-run"
+    And the request with that id ran once
 
   Scenario: An id seen before the owner's grant is never run
     When "POST" to key "crew-9" of "roster-app" says that it is 3600000 ms old
-    Then the answer is 502 "unknown" because of "first-seen-before-grant"
+    Then the response is 502 "unknown" because of "first-seen-before-grant"
 
-  Scenario: A caller that leaves cancels its request along the path
-    When a caller leaves during a request of 5000 ms at "paypost"
-    Then nothing runs or waits at any daemon
+  Scenario: A caller that disconnects cancels its request along the path
+    When a caller disconnects during a request of 5000 ms at "paypost"
+    Then no request runs or waits at any daemon
 
   Scenario: One task id joins the logs of both daemons
     When "GET" for key "crew-1" of "roster-app" is sent to a daemon that does not own it
     Then the logs of two daemons share that request's task id
 
-  Scenario: Metrics tell service, class and tenant
+  Scenario: Metrics are labelled with service, class and tenant
     When "GET" for key "crew-1" of "roster-app" is sent with "Pearward-Tenant" set to "halas-kft"
     Then the metrics of the first daemon have a histogram for tenant "halas-kft"
--- a/features/steps/caller_steps.py
+++ b/features/steps/caller_steps.py
@@ -1,4 +1,4 @@
-"""Steps of callers' connections, in virtual time and without sockets."""
+"""Steps that test callers' connections, in virtual time and without sockets."""
 
 from typing import Any
 
@@ -11,13 +11,13 @@
 from pearward_transport.caller_request import CallerRequest
 from pearward_transport.http_server import CallerFactory, HttpLimits
 
-HEAD = b"POST /x/ HTTP/1.1\r\nHost: a\r\nContent-Length: 6\r\n\r\n"
-WHOLE = b"GET /x/ HTTP/1.1\r\nHost: a\r\n\r\n"
+POST_HEAD = b"POST /x/ HTTP/1.1\r\nHost: a\r\nContent-Length: 6\r\n\r\n"
+GET_REQUEST = b"GET /x/ HTTP/1.1\r\nHost: a\r\n\r\n"
 IDLE_S = 60.0
 
 
 class _Handler:
-    """Takes requests and their bodies."""
+    """Records requests and their bodies."""
 
     def __init__(self) -> None:
         self.requests: list[CallerRequest] = []
@@ -39,13 +39,13 @@
         self.lost += 1
 
     def resume(self) -> None:
-        """Answers are short."""
+        """Does nothing, as responses are short."""
 
     def pause(self) -> None:
-        """Answers are short."""
+        """Does nothing, as responses are short."""
 
 
-@given("a caller's connection whose headers may take {seconds:g} s")
+@given("a caller's connection with a header time-out of {seconds:g} s")
 def connection(context: Any, seconds: float) -> None:
     context.clock = Clock()
     context.handler = _Handler()
@@ -56,43 +56,43 @@
     context.channel.makeConnection(context.transport)
 
 
-def _pass(context: Any, seconds: int) -> None:
+def _advance(context: Any, seconds: int) -> None:
     for _ in range(seconds):
         context.clock.advance(1.0)
 
 
 @when("it sends the first half of a request's headers and nothing for {seconds:d} s")
-def half(context: Any, seconds: int) -> None:
-    context.channel.dataReceived(HEAD[:20])
-    _pass(context, seconds)
+def send_partial_headers(context: Any, seconds: int) -> None:
+    context.channel.dataReceived(POST_HEAD[:20])
+    _advance(context, seconds)
 
 
-@when("it sends a request's headers, and its body in three parts of {seconds:d} s")
+@when("it sends a request's headers, and its body in three parts at intervals of {seconds:d} s")
 def slow_body(context: Any, seconds: int) -> None:
-    context.channel.dataReceived(HEAD)
+    context.channel.dataReceived(POST_HEAD)
     for part in (b"ab", b"cd", b"ef"):
-        _pass(context, seconds)
+        _advance(context, seconds)
         context.channel.dataReceived(part)
 
 
-@when("it sends a request, is answered, and sends another after {seconds:d} s")
+@when("it sends a request, gets a response, and sends another request after {seconds:d} s")
 def two_requests(context: Any, seconds: int) -> None:
-    context.channel.dataReceived(WHOLE)
+    context.channel.dataReceived(GET_REQUEST)
     context.handler.requests[0].send_response(200, b"", b"")
-    _pass(context, seconds)
-    context.channel.dataReceived(WHOLE)
-    _pass(context, seconds)
+    _advance(context, seconds)
+    context.channel.dataReceived(GET_REQUEST)
+    _advance(context, seconds)
 
 
-@then("it is answered 408 and closed, and no request has begun")
+@then("it gets a 408 response and is closed, and no request has begun")
 def timed_out(context: Any) -> None:
     assert context.transport.value().startswith(b"HTTP/1.1 408 "), context.transport.value()
     assert context.transport.disconnecting
     assert not context.handler.requests
 
 
-@then("the request has begun, and its body is whole")
-def body_whole(context: Any) -> None:
+@then("the request has begun, and its body is complete")
+def body_complete(context: Any) -> None:
     assert len(context.handler.requests) == 1
     assert (context.handler.body, context.handler.ended) == (b"abcdef", 1)
 
@@ -103,17 +103,17 @@
     assert not context.transport.disconnecting
 
 
-# -- requests behind one another ---------------------------------------------------------
+# -- pipelined requests ------------------------------------------------------------------
 
 
-@when("it sends {count:d} safe requests behind one another")
+@when("it pipelines {count:d} safe requests")
 def pipeline(context: Any, count: int) -> None:
-    context.channel.dataReceived(WHOLE * count)
+    context.channel.dataReceived(GET_REQUEST * count)
 
 
-@when("it sends 2 safe requests, an unsafe one and a safe one behind one another")
+@when("it pipelines 2 safe requests, an unsafe one and a safe one")
 def mixed_pipeline(context: Any) -> None:
-    context.channel.dataReceived(WHOLE * 2 + HEAD + b"abcdef" + WHOLE)
+    context.channel.dataReceived(GET_REQUEST * 2 + POST_HEAD + b"abcdef" + GET_REQUEST)
 
 
 @then("{count:d} requests have begun")
@@ -121,21 +121,21 @@
     assert len(context.handler.requests) == count, len(context.handler.requests)
 
 
-@when("the answers come in the order {order}")
-def answers_come(context: Any, order: str) -> None:
+@when("the requests get responses in the order {order}")
+def send_responses(context: Any, order: str) -> None:
     for number in order.split(", "):
         context.handler.requests[int(number) - 1].send_response(
             200, b"", b"answer %b." % number.encode()
         )
 
 
-@when("the unsafe one is answered")
-def unsafe_answered(context: Any) -> None:
+@when("the unsafe request gets a response")
+def respond_unsafe(context: Any) -> None:
     context.handler.requests[2].send_response(200, b"", b"answer 3.")
 
 
-@when("the second is answered in chunks before the first is")
-def chunks(context: Any) -> None:
+@when("the second request gets a response in chunks before the first one does")
+def respond_in_chunks(context: Any) -> None:
     second = context.handler.requests[1]
     second.begin_response(200, b"", 10)
     second.write_response_chunk(b"chunk")
@@ -143,50 +143,50 @@
     second.end_response()
 
 
-@when("the first is answered")
-def first_answered(context: Any) -> None:
+@when("the first request gets a response")
+def respond_first(context: Any) -> None:
     context.handler.requests[0].send_response(200, b"", b"answer 1.")
 
 
-@when("the first asks for the connection to end")
-def ends(context: Any) -> None:
+@when("the first request asks for the connection to be closed")
+def ask_for_close(context: Any) -> None:
     context.handler.requests[0].close_after()
 
 
-@when("it sends bytes that are no request")
-def malformed(context: Any) -> None:
+@when("it sends a malformed request")
+def send_malformed(context: Any) -> None:
     context.channel.dataReceived(b"GET /x/ HTTP/1.1\r\nno header\r\n\r\nmore\r\n")
 
 
-@when("the second is answered and the caller leaves")
-def leaves(context: Any) -> None:
+@when("the second request gets a response and the caller disconnects")
+def disconnect(context: Any) -> None:
     context.handler.requests[1].send_response(200, b"", b"")
     context.channel.connectionLost(Failure(ConnectionDone()))
 
 
-@then("{count:d} requests have been told so")
-def told(context: Any, count: int) -> None:
+@then("{count:d} requests have been notified")
+def notified(context: Any, count: int) -> None:
     assert context.handler.lost == count, context.handler.lost
 
 
-@then("the caller has read no byte")
-def read_nothing(context: Any) -> None:
+@then("the caller has received no byte")
+def received_nothing(context: Any) -> None:
     assert context.transport.value() == b"", context.transport.value()
 
 
-@then("the caller has read the first answer and then the chunks")
-def read_chunks(context: Any) -> None:
+@then("the caller has received the first response and then the chunks")
+def received_chunks(context: Any) -> None:
     assert _bodies(context) == [b"answer 1.", b"chunkchunk"], _bodies(context)
 
 
-@then("the caller has read the answers {numbers} and nothing else")
-def read_answers(context: Any, numbers: str) -> None:
+@then("the caller has received the responses {numbers} and nothing else")
+def received_responses(context: Any, numbers: str) -> None:
     wanted = [b"answer %b." % number.encode() for number in numbers.split(", ")]
     assert _bodies(context) == wanted, context.transport.value()
 
 
-@then("only the answer 2 says that the connection ends, and it has ended")
-def ended_with(context: Any) -> None:
+@then("only response 2 announces that the connection closes, and it is closed")
+def closed_by_second(context: Any) -> None:
     first, second = context.transport.value().split(b"answer 1.")
     assert b"Connection: close" not in first
     assert b"Connection: close" in second
@@ -194,7 +194,7 @@
 
 
 def _bodies(context: Any) -> list[bytes]:
-    """Read the answers that were written, each with its stated length."""
+    """Return the bodies of the responses that were written, by their Content-Length."""
     rest = context.transport.value()
     bodies: list[bytes] = []
     while rest:
--- a/features/steps/cut_off_steps.py
+++ b/features/steps/cut_off_steps.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from behave import then, when
-from fault_steps import KEYS, _coordinator, _links, _lose, _owner, _serves
+from fault_steps import KEYS, _add_link_faults, _coordinator, _mark_unreachable, _owner, _serves
 
 from pearward_devtools.cluster import wait_until
 from pearward_state.records import MemberState
@@ -21,14 +21,14 @@
 @when('the coordinator of "{service}" is cut off from all peers')
 def cut_off_coordinator(context: Any, service: str) -> None:
     node = wait_until(lambda: _coordinator(context, service), "a coordinator")
-    _lose(context, node)
-    _links(context, node, "cut")
+    _mark_unreachable(context, node)
+    _add_link_faults(context, node, "cut")
 
 
 @when('the links towards the owner of "{key}" are cut')
 def cut_towards(context: Any, key: str) -> None:
     node = _owner(context, key)
-    _lose(context, node)
+    _mark_unreachable(context, node)
     context.notes["faults"] = [{"from": "*", "to": node.ip, "kind": "cut"}]
     context.cluster.set_link_faults(context.notes["faults"])
 
@@ -38,7 +38,7 @@
     owner = _owner(context, key)
     others = [node for node in context.cluster.of(owner.service) if node is not owner]
     for node in others[:2]:
-        _lose(context, node)
+        _mark_unreachable(context, node)
         context.cluster.freeze(node)
         wait_until(
             lambda n=node: n.server not in _active(context, n.service), f"{node.name} to be lost"
@@ -50,7 +50,7 @@
 def frozen_go_on(context: Any) -> None:
     for node in context.notes.pop("frozen"):
         context.cluster.resume(node)
-        context.notes["gone"].remove(node)
+        context.notes["unreachable"].remove(node)
 
 
 @then('every key of "{service}" stays served for {seconds:d} seconds')
--- a/features/steps/fault_steps.py
+++ b/features/steps/fault_steps.py
@@ -1,4 +1,4 @@
-"""Steps that break things, and that look at what the servers really ran."""
+"""Steps that inject faults, and that check what the servers ran."""
 
 import time
 from typing import Any
@@ -33,47 +33,49 @@
     context.notes["traffic"] = running
     names = ("acct-1", "acct-2") if service == "premview" else ()
     context.notes["owners"] = {key: context.cluster.owner_of(service, key) for key in names}
-    # Also ended where a step fails, so that no caller outlives its scenario.
+    # Also stopped when a step fails, so that no caller outlives its scenario.
     context.add_cleanup(running.stop)
     wait_until(lambda: len(running.sent) > 30, "traffic")
 
 
 def _reachable(context: Any) -> list[str]:
-    """Return the callers' addresses of daemons that are there, as callers would learn them."""
-    gone = context.notes.get("gone", [])
-    return [n.caller for n in context.cluster.nodes if n.daemon is not None and n not in gone]
+    """Return the caller addresses of the daemons that callers would find reachable."""
+    unreachable = context.notes.get("unreachable", [])
+    return [
+        n.caller for n in context.cluster.nodes if n.daemon is not None and n not in unreachable
+    ]
 
 
 def _owner(context: Any, key: str) -> Node:
     """Return the node that owned a key when the scenario began to send requests."""
     if key in context.notes.get("owners", {}):
         node = context.notes["owners"][key]
-        context.notes.setdefault("victims", {})[key] = node
+        context.notes.setdefault("faulty_owners", {})[key] = node
         return node  # type: ignore[no-any-return]
     service = "premview" if key.startswith("acct") else "roster-app"
     node = wait_until(lambda: context.cluster.owner_of(service, key), f"an owner of {key}")
-    context.notes.setdefault("victims", {})[key] = node
+    context.notes.setdefault("faulty_owners", {})[key] = node
     return node  # type: ignore[no-any-return]
 
 
-def _lose(context: Any, node: Node) -> None:
-    context.notes.setdefault("gone", []).append(node)
+def _mark_unreachable(context: Any, node: Node) -> None:
+    context.notes.setdefault("unreachable", []).append(node)
 
 
-# -- breaking --------------------------------------------------------------------
+# -- faults ----------------------------------------------------------------------
 
 
 @when('the daemon of the owner of "{key}" is killed')
 def kill_owner(context: Any, key: str) -> None:
     node = _owner(context, key)
-    _lose(context, node)
+    _mark_unreachable(context, node)
     context.cluster.kill_daemon(node)
 
 
 @when('the daemon that coordinates "{service}" is killed')
 def kill_coordinator(context: Any, service: str) -> None:
     node = wait_until(lambda: _coordinator(context, service), "a coordinator")
-    _lose(context, node)
+    _mark_unreachable(context, node)
     context.cluster.kill_daemon(node)
 
 
@@ -89,46 +91,46 @@
 def kill_server(context: Any, key: str) -> None:
     node = _owner(context, key)
     runs = context.cluster.runs(node.service)
-    context.notes["dead_runs"] = [run for run in runs if run["server"] == node.server]
+    context.notes["killed_server_runs"] = [run for run in runs if run["server"] == node.server]
     context.cluster.kill_server(node)
 
 
 @when('the daemon of the owner of "{key}" is frozen')
 def freeze_daemon(context: Any, key: str) -> None:
     node = _owner(context, key)
-    _lose(context, node)
+    _mark_unreachable(context, node)
     context.cluster.freeze(node)
 
 
 @when('the daemon and the server of the owner of "{key}" are frozen')
 def freeze_both(context: Any, key: str) -> None:
     node = _owner(context, key)
-    _lose(context, node)
+    _mark_unreachable(context, node)
     context.cluster.freeze(node, server=True)
 
 
-@when("the frozen processes go on")
-def thaw(context: Any) -> None:
+@when("the frozen processes are resumed")
+def resume_frozen(context: Any) -> None:
     for node in context.cluster.nodes:
         context.cluster.resume(node)
-    context.notes["gone"] = []
+    context.notes["unreachable"] = []
 
 
 @when('the owner of "{key}" is cut off from all peers')
-def cut_off(context: Any, key: str) -> None:
+def cut_off_owner(context: Any, key: str) -> None:
     node = _owner(context, key)
-    _lose(context, node)
-    _links(context, node, "cut")
+    _mark_unreachable(context, node)
+    _add_link_faults(context, node, "cut")
 
 
-@when('the links of the owner of "{key}" go silent')
-def go_silent(context: Any, key: str) -> None:
+@when('the links of the owner of "{key}" stall without closing')
+def stall_links(context: Any, key: str) -> None:
     node = _owner(context, key)
-    _lose(context, node)
-    _links(context, node, "stall")
+    _mark_unreachable(context, node)
+    _add_link_faults(context, node, "stall")
 
 
-def _links(context: Any, node: Node, kind: str, seconds: float = 0.0) -> None:
+def _add_link_faults(context: Any, node: Node, kind: str, seconds: float = 0.0) -> None:
     faults = context.notes.setdefault("faults", [])
     faults += [
         {"from": node.ip, "to": "*", "kind": kind, "seconds": seconds},
@@ -139,21 +141,21 @@
 
 @when('the links of the owner of "{key}" delay by {delay:d} ms')
 def delay_links(context: Any, key: str, delay: int) -> None:
-    _links(context, _owner(context, key), "delay", delay / 1000)
+    _add_link_faults(context, _owner(context, key), "delay", delay / 1000)
 
 
-@when('the links towards the owner of "{key}" garble what they carry')
-def garble_links(context: Any, key: str) -> None:
+@when('the links towards the owner of "{key}" corrupt data')
+def corrupt_links(context: Any, key: str) -> None:
     node = _owner(context, key)
     faults = context.notes.setdefault("faults", [])
     faults.append({"from": "*", "to": node.ip, "kind": "corrupt"})
     context.cluster.set_link_faults(faults)
 
 
-@when("all links are mended")
-def mend(context: Any) -> None:
+@when("all link faults are removed")
+def remove_link_faults(context: Any) -> None:
     context.notes["faults"] = []
-    context.notes["gone"] = []
+    context.notes["unreachable"] = []
     context.cluster.set_link_faults([])
 
 
@@ -167,7 +169,7 @@
     context.cluster.platform_faults()
 
 
-@when("the platform loses the next {count:d} answers to writes")
+@when("the platform loses the next {count:d} responses to writes")
 def lose_answers(context: Any, count: int) -> None:
     context.cluster.platform_faults(lose_answers=count)
 
@@ -175,7 +177,7 @@
 @when("{seconds:d} second passes")
 @when("{seconds:d} seconds pass")
 def pass_time(context: Any, seconds: int) -> None:
-    # The fault itself must last; nothing is concluded from how long.
+    # The fault has to last for some time; no check depends on how long.
     time.sleep(seconds)
 
 
@@ -197,19 +199,19 @@
 
 
 def _stop(context: Any, node: Node) -> None:
-    """Stop a daemon; callers see it leave readyz first, as a caller's balancer would."""
-    _lose(context, node)
+    """Stop a daemon; callers stop using it first, as a load balancer that polls readyz would."""
+    _mark_unreachable(context, node)
     context.notes["stopping"] = context.cluster.terminate_daemon(node)
 
 
 @when('every daemon of "{service}" is stopped as planned and started again')
-def roll(context: Any, service: str) -> None:
+def rolling_restart(context: Any, service: str) -> None:
     for node in context.cluster.of(service):
         _stop(context, node)
         assert context.notes["stopping"].wait(timeout=60) == 0
         context.cluster.start_daemon(node)
         context.cluster.wait_ready()
-        context.notes["gone"] = []
+        context.notes["unreachable"] = []
 
 
 @when('every daemon of "{service}" is killed and started again')
@@ -226,28 +228,30 @@
     assert result.returncode == code and result.stderr.strip(), (result.returncode, result.stderr)
 
 
-# -- looking ---------------------------------------------------------------------
+# -- checks ----------------------------------------------------------------------
 
 
 def _serves(context: Any, service: str, key: str) -> str:
-    """Return the server that answers for a key now, or nothing."""
+    """Return the server that serves a key now, or an empty string."""
     address = _reachable(context)[0]
     try:
-        answer = context.caller.call(
+        response = context.caller.call(
             address, service, key, headers={"Pearward-Deadline-Ms": "1500"}
         )
     except OSError:
         return ""
-    if answer.outcome != "served":
+    if response.outcome != "served":
         return ""
-    owner = answer.headers.get("pearward-owner", "")
+    owner = response.headers.get("pearward-owner", "")
     return next((n.server for n in context.cluster.nodes if n.caller == owner), "?")
 
 
 @then('"{key}" is served by another server')
 def served_elsewhere(context: Any, key: str) -> None:
-    victim = context.notes["victims"][key].server
-    wait_until(lambda: _serves(context, "premview", key) not in ("", victim), f"{key} to be served")
+    former_owner = context.notes["faulty_owners"][key].server
+    wait_until(
+        lambda: _serves(context, "premview", key) not in ("", former_owner), f"{key} to be served"
+    )
 
 
 @then('"{key}" is not served')
@@ -264,12 +268,12 @@
 
 @then("the daemon that is cut off serves nothing")
 def cut_off_serves_nothing(context: Any) -> None:
-    (node,) = context.notes["gone"]
-    wait_until(lambda: context.cluster.status(node)["serving"] == 0, "the lease to lapse")
-    answer = context.caller.call(
+    (node,) = context.notes["unreachable"]
+    wait_until(lambda: context.cluster.status(node)["serving"] == 0, "the lease to expire")
+    response = context.caller.call(
         node.caller, "premview", "acct-1", headers={"Pearward-Deadline-Ms": "500"}
     )
-    assert answer.outcome != "served", answer
+    assert response.outcome != "served", response
 
 
 @then("that daemon ends with exit code {code:d}")
@@ -287,10 +291,10 @@
     assert verdict.held, str(verdict)
 
 
-@then('the promises hold for "{service}"')
-def promises_hold(context: Any, service: str) -> None:
+@then('the guarantees hold for "{service}"')
+def guarantees_hold(context: Any, service: str) -> None:
     sent = _stop_traffic(context)
-    runs = context.cluster.runs(service) + context.notes.get("dead_runs", [])
+    runs = context.cluster.runs(service) + context.notes.get("killed_server_runs", [])
     for verdict in (
         one_owner(runs), at_most_once(sent, runs), not_run_is_true(sent, runs), own_responses(sent)
     ):  # fmt: skip
@@ -302,34 +306,34 @@
     assert context.cluster.placements(service) == context.notes["runs_before"]
 
 
-def _work_at(context: Any, server: str) -> int:
+def _run_count(context: Any, server: str) -> int:
     service = server.rpartition("-")[0]
     return sum(run["server"] == server for run in context.cluster.runs(service))
 
 
-@then('"{server}" gets no work during {seconds:d} seconds')
-def no_work(context: Any, server: str, seconds: int) -> None:
-    before = _work_at(context, server)
+@then('"{server}" runs no new request for {seconds:d} seconds')
+def runs_nothing_new(context: Any, server: str, seconds: int) -> None:
+    before = _run_count(context, server)
     time.sleep(seconds)
-    assert _work_at(context, server) == before
+    assert _run_count(context, server) == before
 
 
-@then('"{server}" gets work again')
-def work_again(context: Any, server: str) -> None:
-    before = _work_at(context, server)
-    wait_until(lambda: _work_at(context, server) > before, f"work at {server}")
+@then('"{server}" runs requests again')
+def runs_again(context: Any, server: str) -> None:
+    before = _run_count(context, server)
+    wait_until(lambda: _run_count(context, server) > before, f"a request to run at {server}")
 
 
 def _shards_of(context: Any, server: str) -> int:
     return sum(s == server for s in context.cluster.placements(server.rpartition("-")[0]).values())
 
 
-@then('"{server}" comes to own nothing')
+@then('"{server}" eventually owns no shards')
 def owns_nothing(context: Any, server: str) -> None:
     wait_until(lambda: _shards_of(context, server) == 0, f"{server} to own nothing")
 
 
-@then('"{server}" comes to own its share')
+@then('"{server}" eventually owns shards')
 def owns_share(context: Any, server: str) -> None:
     wait_until(lambda: _shards_of(context, server) > 0, f"{server} to own shards")
 
@@ -339,18 +343,18 @@
     nodes = context.cluster.of(service)
     context.notes["fourth"] = nodes[-1]
     for node in nodes[:-1]:
-        _lose(context, node)
+        _mark_unreachable(context, node)
         context.cluster.kill_daemon(node)
 
 
-@then("the shards that wait for them wait on")
-def wait_on(context: Any) -> None:
+@then("no key is served before the three are released")
+def none_served_before_release(context: Any) -> None:
     fourth = context.notes["fourth"]
     wait_until(lambda: context.cluster.status(fourth)["coordinating"], "a coordinator")
-    # It may come to coordinate before the lease has run out that it had from all three.
-    wait_until(lambda: not context.cluster.status(fourth)["lease_held"], "its lease to run out")
+    # It may take the coordinator's role before the lease that all three gave it has expired.
+    wait_until(lambda: not context.cluster.status(fourth)["lease_held"], "its lease to expire")
     served = [_serves(context, "premview", f"key-{n}") for n in range(4)]
-    # The fourth has lost two of its three witnesses: it serves nothing, its own keys included.
+    # The fourth daemon has lost two of its three witnesses: it serves no key, not even its own.
     assert not any(served), served
 
 
--- a/features/steps/request_steps.py
+++ b/features/steps/request_steps.py
@@ -1,4 +1,4 @@
-"""Steps that make requests and look at the answers."""
+"""Steps that send requests and check the responses."""
 
 import http.client
 import json
@@ -21,10 +21,10 @@
     context: Any, address: str, service: str, key: str = "", **options: Any
 ) -> CheckedResponse:
     began = time.monotonic()
-    answer = context.caller.call(address, service, key, **options)
+    response = context.caller.call(address, service, key, **options)
     context.notes["took_s"] = time.monotonic() - began
-    context.answers.append(answer)
-    return answer
+    context.answers.append(response)
+    return response
 
 
 @when('each daemon is asked for {count:d} keys of "{service}"')
@@ -41,7 +41,7 @@
             _call(context, node.caller, service)
 
 
-@then("every answer is served, whole and the caller's own")
+@then("every response is served, complete and matches its request")
 def all_served(context: Any) -> None:
     bad = [
         a
@@ -64,14 +64,14 @@
     _call(context, _first(context).caller, service, key, method=method)
 
 
-@when("the same is sent to the owner that the answer names")
+@when("the same request is sent to the owner that the response names")
 def send_named(context: Any) -> None:
     owner = context.answers[-1].headers["pearward-owner"]
     _call(context, owner, "roster-app", "crew-1")
     context.notes["asked"] = owner
 
 
-@then("the last answer names the daemon that it came from")
+@then("the last response names the daemon that sent it")
 def names_itself(context: Any) -> None:
     assert context.answers[-1].headers["pearward-owner"] == context.notes["asked"]
 
@@ -84,18 +84,18 @@
     _call(context, _first(context).caller, service, key, method=method, headers={header: value})
 
 
-@then('the answer is {status:d} "{outcome}" because of "{reason}"')
-def answer_is(context: Any, status: int, outcome: str, reason: str) -> None:
-    answer = context.answers[-1]
-    got = (answer.status, answer.outcome, answer.reason)
-    assert got == (status, outcome, reason), (got, answer.body)
+@then('the response is {status:d} "{outcome}" because of "{reason}"')
+def response_is(context: Any, status: int, outcome: str, reason: str) -> None:
+    response = context.answers[-1]
+    got = (response.status, response.outcome, response.reason)
+    assert got == (status, outcome, reason), (got, response.body)
     if outcome == "not-run":
         ran = [r["id"] for s in ("roster-app", "paypost") for r in context.cluster.runs(s)]
-        assert answer.request_id not in ran
+        assert response.request_id not in ran
 
 
 @when("a request with {size:d} bytes of headers is sent to the first daemon")
-def huge_headers(context: Any, size: int) -> None:
+def send_large_headers(context: Any, size: int) -> None:
     with socket.create_connection(_first(context).caller.split(":"), timeout=5) as sock:
         filler = b"".join(b"X-%d: %s\r\n" % (i, b"y" * 100) for i in range(size // 108))
         sock.sendall(
@@ -118,7 +118,7 @@
     assert _call(context, _first(context).caller, service, key, method=method).outcome == "served"
 
 
-def _in_background(context: Any, work: Any) -> None:
+def _start_in_background(context: Any, work: Any) -> None:
     def run() -> None:
         try:
             context.notes["background"] = work()
@@ -134,26 +134,26 @@
 def long_download(context: Any, service: str, daemon: str = "") -> None:
     node = next((n for n in context.cluster.nodes if n.name == daemon), _first(context))
     size = 6_000_000
-    _in_background(
+    _start_in_background(
         context,
         lambda: context.caller.call(
             node.caller, service, path=f"/d?bytes={size}&rate=2000000", expect_bytes=size
         ),
     )
-    wait_until(lambda: _running(context, service), "the download to run")
+    wait_until(lambda: _running_requests(context, service), "the download to run")
 
 
-def _running(context: Any, service: str) -> int:
+def _running_requests(context: Any, service: str) -> int:
     reports = [context.cluster.status(n) for n in context.cluster.of(service)]
     return sum(r["running"] for r in reports if r is not None)
 
 
-@then("the download ends whole and the caller's own")
-def download_whole(context: Any) -> None:
+@then("the download is complete and matches its request")
+def download_complete(context: Any) -> None:
     context.notes["thread"].join(60)
-    answer = context.notes["background"]
-    assert isinstance(answer, CheckedResponse), answer
-    assert answer.status == 200 and answer.complete and answer.matches_request, answer
+    response = context.notes["background"]
+    assert isinstance(response, CheckedResponse), response
+    assert response.status == 200 and response.complete and response.matches_request, response
 
 
 def _send_to_peers(context: Any, data: bytes) -> None:
@@ -161,7 +161,7 @@
         with socket.create_connection((node.ip, PEER_PORT), timeout=5) as sock:
             sock.sendall(data)
             sock.settimeout(5)
-            # The daemon greets first; afterwards it must close on what it cannot read.
+            # The daemon sends its greeting first; then it must close, as it cannot parse the data.
             while True:
                 try:
                     if not sock.recv(4096):
@@ -171,7 +171,7 @@
 
 
 @when("garbage is sent to the peer port of every daemon")
-def garbage(context: Any) -> None:
+def send_garbage(context: Any) -> None:
     _send_to_peers(context, b"GET / HTTP/1.1\r\nHost: x\r\n\r\n" * 10)
 
 
@@ -184,10 +184,10 @@
     _send_to_peers(context, pack_frame(FrameKind.HELLO, 0, hello.to_bytes()))
 
 
-@when('a caller promises {size:d} bytes to "{service}" and leaves after {sent:d}')
+@when('a caller announces a body of {size:d} bytes to "{service}" and disconnects after {sent:d}')
 def cut_body(context: Any, size: int, service: str, sent: int) -> None:
     request_id = context.caller.new_id()
-    context.notes.setdefault("cut", []).append(request_id)
+    context.notes.setdefault("cut_ids", []).append(request_id)
     address = _first(context).caller.split(":")
     with socket.create_connection(address, timeout=5) as sock:
         sock.sendall(
@@ -197,14 +197,14 @@
         sock.sendall(b"z" * sent)
 
 
-@then("nothing of these callers has run")
+@then("no request of these callers has run")
 def cut_never_ran(context: Any) -> None:
-    wait_until(lambda: not _open(context), "cut requests to end")
+    wait_until(lambda: not _open_requests(context), "the incomplete requests to end")
     ran = {run["id"] for run in context.cluster.runs("paypost")}
-    assert not ran & set(context.notes["cut"])
+    assert not ran & set(context.notes["cut_ids"])
 
 
-def _open(context: Any) -> int:
+def _open_requests(context: Any) -> int:
     total = 0
     for node in context.cluster.nodes:
         status = context.cluster.status(node)
@@ -224,26 +224,26 @@
         _call(context, node.caller, service, path=f"/d?bytes={size}", expect_bytes=size)
 
 
-@when('an answer of {size:d} bytes from "{service}" breaks off after {cut:d}')
-@when('an answer of {size:d} bytes from "{service}" breaks off after {cut:d}, not repeatable')
-def cut_answer(context: Any, size: int, service: str, cut: int) -> None:
+@when('a response of {size:d} bytes from "{service}" breaks off after {cut:d}')
+@when('a response of {size:d} bytes from "{service}" breaks off after {cut:d}, not repeatable')
+def break_off_response(context: Any, size: int, service: str, cut: int) -> None:
     try:
         _call(
             context, _first(context).caller, service, method="POST",
             path=f"/d?bytes={size}&cut={cut}", expect_bytes=size,
         )  # fmt: skip
     except ConnectionError as error:
-        # The reset that ends the answer may overtake its head on the caller's side.
+        # The reset that ends the response may reach the caller before the response head.
         context.notes["reset"] = error
 
 
-@then("the answer is broken off")
+@then("the response is broken off")
 def broken_off(context: Any) -> None:
     if "reset" in context.notes:
         assert not context.answers
         return
-    answer = context.answers[-1]
-    assert answer.status == 200 and not answer.complete, answer
+    response = context.answers[-1]
+    assert response.status == 200 and not response.complete, response
 
 
 @when('"POST" to "{service}" that works for {work:d} ms has a deadline of {deadline:d} ms')
@@ -254,9 +254,9 @@
     )  # fmt: skip
 
 
-@then("it came within {limit:d} ms")
-def came_within(context: Any, limit: int) -> None:
-    # A bound far above the deadline and far below the server's time: not a timing figure.
+@then("the response arrived within {limit:d} ms")
+def arrived_within(context: Any, limit: int) -> None:
+    # Far above the deadline and far below the server's running time: no measure of speed.
     assert context.notes["took_s"] * 1000 < limit
 
 
@@ -267,13 +267,13 @@
         _call(context, node.caller, service, key, method="POST", request_id=request_id)
 
 
-@then('one answer is served and the others are "{outcome}"')
+@then('one response is served and the others are "{outcome}"')
 def one_served(context: Any, outcome: str) -> None:
     outcomes = sorted(a.outcome for a in context.answers)
     assert outcomes == sorted(["served"] + [outcome] * (len(outcomes) - 1)), outcomes
 
 
-@then("that id ran once")
+@then("the request with that id ran once")
 def ran_once(context: Any) -> None:
     request_id = context.answers[0].request_id
     runs = [r for r in context.cluster.runs("roster-app") if r["id"] == request_id]
@@ -288,24 +288,24 @@
     )  # fmt: skip
 
 
-@when('a caller leaves during a request of {work:d} ms at "{service}"')
-def leaving_caller(context: Any, work: int, service: str) -> None:
+@when('a caller disconnects during a request of {work:d} ms at "{service}"')
+def disconnecting_caller(context: Any, work: int, service: str) -> None:
     connection = http.client.HTTPConnection(_first(context).caller, timeout=5)
     connection.request("GET", f"/w?work_ms={work}", headers={"Pearward-Service": service})
-    wait_until(lambda: _running(context, service), "the request to run")
+    wait_until(lambda: _running_requests(context, service), "the request to run")
     connection.close()
 
 
-@then("nothing runs or waits at any daemon")
+@then("no request runs or waits at any daemon")
 def nothing_runs(context: Any) -> None:
-    wait_until(lambda: not _open(context), "requests to be cancelled", 4.0)
+    wait_until(lambda: not _open_requests(context), "requests to be cancelled", 4.0)
 
 
 @when('"GET" for key "{key}" of "{service}" is sent to a daemon that does not own it')
 def send_elsewhere(context: Any, key: str, service: str) -> None:
     owner = context.cluster.owner_of(service, key)
     other = next(n for n in context.cluster.of(service) if n is not owner)
-    context.notes["pair"] = (other, owner)
+    context.notes["ingress_and_owner"] = (other, owner)
     _call(context, other.caller, service, key)
 
 
@@ -322,7 +322,7 @@
 
 @then("the logs of two daemons share that request's task id")
 def joined_logs(context: Any) -> None:
-    ingress, owner = context.notes["pair"]
+    ingress, owner = context.notes["ingress_and_owner"]
     wait_until(
         lambda: (
             _tasks(context, ingress, "pearward:request") & _tasks(context, owner, "pearward:owner")
--- a/features/table.feature
+++ b/features/table.feature
@@ -21,7 +21,7 @@
     Then one has exit code 4 and its message names both values
 
   Scenario: A write whose answer is lost is settled by reading back
-    When the platform loses the next 1 answers to writes
+    When the platform loses the next 1 responses to writes
     And the command "set paypost limit=31" is run
     Then the table of "paypost" has limit 31
     And its version grew by one
@@ -53,7 +53,7 @@
     When the daemon "paypost-2" is frozen by name
     And the command "set paypost limit=55 --wait --timeout 3" is tried
     Then it ends with exit code 5 and names "paypost-2"
-    When the frozen processes go on
+    When the frozen processes are resumed
     Then every daemon acts on the newest rows of "paypost"
 
   Scenario: Versions never go back on a daemon
