--- a/features/patience.feature
+++ b/features/patience.feature
@@ -1,20 +1,20 @@
 @cluster.patient.pooled
-Feature: Patient services move few keys, pooled ones lose no work
+Feature: Services with the patient policy move few keys, pooled ones lose no requests
 
-  Scenario: A killed daemon that returns gets its keys back
+  Scenario: A killed daemon that is restarted gets its keys back
     Given callers send requests to "roster-app"
     When the daemon of the owner of "crew-1" is killed and started again
     Then every key of "roster-app" is served again
     And no key of "roster-app" has moved to another server
     And the guarantees hold for "roster-app"
 
-  Scenario: A planned stop lets a long download end
+  Scenario: A planned stop lets a long download complete
     When a long download from "paypost" through "paypost-0" is under way
     And the daemon "paypost-0" is stopped as planned
     Then the download is complete and matches its request
     And that daemon ends with exit code 0
 
-  Scenario: A drained server gets no new work and cuts none
+  Scenario: A drained server gets no new requests and breaks none off
     Given callers send requests to "paypost"
     When the command "drain paypost/paypost-1 --wait" is run
     And 2 seconds pass
--- a/features/steps/quarantine_fleet_steps.py
+++ b/features/steps/quarantine_fleet_steps.py
@@ -1,4 +1,4 @@
-"""Steps of a fleet in virtual time whose daemons tell each other of crashes."""
+"""Steps that test a fleet in virtual time whose daemons report crashes to each other."""
 
 from typing import Any
 
@@ -11,8 +11,10 @@
 """Content of the request that crashes its targets."""
 
 
-@when("{count:d} targets are said to have crashed under a request, by different daemons")
-def said(context: Any, count: int) -> None:
+@when(
+    "{count:d} targets are reported to have crashed while running a request, by different daemons"
+)
+def report_crashes(context: Any, count: int) -> None:
     world = context.world
     for number in range(count):
         record = CrashRecord(f"i-crashed-{number}", world.now, (BAD, f"beside-{number}"))
@@ -31,17 +33,17 @@
 
 
 @when("all daemons are started again at once")
-def all_again(context: Any) -> None:
+def restart_all(context: Any) -> None:
     for node in context.world.nodes:
         context.world.start_daemon(node)
 
 
-@when("the store is away")
-def store_away(context: Any) -> None:
+@when("the store is unavailable")
+def store_unavailable(context: Any) -> None:
     context.world.store_down = True
 
 
-@when("the store is back and {seconds:g} s have passed")
-def store_back(context: Any, seconds: float) -> None:
+@when("the store is available again and {seconds:g} s have passed")
+def store_available(context: Any, seconds: float) -> None:
     context.world.store_down = False
     context.world.run(seconds)
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -1,4 +1,4 @@
-"""Steps that replay crashes of targets, and what becomes of the requests that they ran."""
+"""Steps that simulate crashes of targets, and check which requests are refused for them."""
 
 from dataclasses import dataclass, field
 from typing import Any
@@ -19,50 +19,50 @@
 TICK_S = 0.01
 BAD, BAD_RUNS_S, BAD_EVERY_S = "bad", 0.1, 0.4
 GOOD_RUNS_S = 0.12
-NOTICED_S = 0.4
-"""Seconds from a crash until the daemon beside the target knows that it has ended."""
-MOVED_S = 0.6
+DETECTION_S = 0.4
+"""Seconds from a crash until the target's daemon detects it."""
+TAKEOVER_S = 0.6
 """Seconds from a crash until the keys have another owner."""
-UNIX = 1_700_000_000.0
-"""Unix time at second 0 of a play."""
+UNIX_START = 1_700_000_000.0
+"""Unix time at second 0 of a simulation."""
 START = 100.0
 
 
 @dataclass(eq=False)
 class _Request:
-    """A request under an id of its own."""
+    """A request with its own id."""
 
     content: str
-    ends: float = 0.0
+    ends_at: float = 0.0
 
 
 @dataclass(eq=False)
 class _Target:
-    """A target, the daemon beside it, and what it runs."""
+    """A target, its daemon's view of crashes, and the requests that it runs."""
 
     name: str
     guard: CrashGuard
     quarantine: Quarantine
-    back_at: float = 0.0
-    life: int = 1
+    available_at: float = 0.0
+    incarnation_number: int = 1
     running: list[_Request] = field(default_factory=list)
 
     @property
     def incarnation(self) -> str:
-        """Name of the present life."""
-        return f"{self.name}-{self.life}"
+        """Name of the current incarnation."""
+        return f"{self.name}-{self.incarnation_number}"
 
 
-class _Keys:
-    """Targets that own the same keys one after the other, as each crashes."""
+class _Simulation:
+    """Targets that own the same keys one after the other, each until it crashes."""
 
-    def __init__(self, count: int, back_s: float, rule: QuarantineRule) -> None:
+    def __init__(self, count: int, restart_s: float, rule: QuarantineRule) -> None:
         self.now = START
-        self.back_s = back_s
+        self.restart_s = restart_s
         self.crashes = 0
         self.rejected: set[str] = set()
-        """Contents that stood as refused at any daemon."""
-        self._later: list[tuple[float, Any]] = []
+        """Contents that any daemon refused because of crashes."""
+        self._scheduled: list[tuple[float, Any]] = []
         self._waiting: list[_Request] = []
         self._owner_from = START
         self.targets = [self._target(f"t{number}", rule) for number in range(count)]
@@ -70,24 +70,24 @@
     def _target(self, name: str, rule: QuarantineRule) -> _Target:
         quarantine = Quarantine(rule)
         log = DecisionLog(0, lambda: self.now)
-        return _Target(name, CrashGuard(quarantine, log, self._tell), quarantine)
+        return _Target(name, CrashGuard(quarantine, log, self._broadcast), quarantine)
 
-    def _tell(self, record: CrashRecord) -> None:
+    def _broadcast(self, record: CrashRecord) -> None:
         for target in self.targets:
-            target.quarantine.note_crash(record, self.now, UNIX + self.now)
+            target.quarantine.note_crash(record, self.now, UNIX_START + self.now)
 
-    def ask(self, content: str) -> None:
-        """Bring a request to the daemon of the keys' owner."""
+    def submit(self, content: str) -> None:
+        """Send a request to the daemon of the keys' owner."""
         self._waiting.append(_Request(content))
 
     def step(self) -> None:
-        """Let a hundredth of a second pass."""
+        """Advance the time by TICK_S."""
         self.now += TICK_S
-        due = [call for at, call in self._later if at <= self.now]
-        self._later = [(at, call) for at, call in self._later if at > self.now]
+        due = [call for at, call in self._scheduled if at <= self.now]
+        self._scheduled = [(at, call) for at, call in self._scheduled if at > self.now]
         for call in due:
             call()
-        owner = next((t for t in self.targets if t.back_at <= self.now), None)
+        owner = next((t for t in self.targets if t.available_at <= self.now), None)
         if owner is not None and self.now >= self._owner_from:
             self._run(owner)
             self._finish(owner)
@@ -99,11 +99,11 @@
                 if owner.quarantine.left_s(request.content, self.now):
                     self.rejected.add(request.content)
                 continue
-            request.ends = self.now + (BAD_RUNS_S if request.content == BAD else GOOD_RUNS_S)
+            request.ends_at = self.now + (BAD_RUNS_S if request.content == BAD else GOOD_RUNS_S)
             owner.running.append(request)
 
     def _finish(self, owner: _Target) -> None:
-        for request in [r for r in owner.running if r.ends <= self.now]:
+        for request in [r for r in owner.running if r.ends_at <= self.now]:
             if request.content == BAD:
                 self._crash(owner)
                 return
@@ -115,42 +115,42 @@
         for request in owner.running:
             owner.guard.ended(request, "id", Outcome.UNKNOWN, Reason.SERVER_FAILED, self.now)
         owner.running.clear()
-        owner.back_at = self.now + self.back_s
-        self._owner_from = self.now + MOVED_S
-        # The next owner is another one, as long as there is one.
+        owner.available_at = self.now + self.restart_s
+        self._owner_from = self.now + TAKEOVER_S
+        # Another target becomes the owner, if there is one.
         self.targets = [t for t in self.targets if t is not owner] + [owner]
-        self._later.append((self.now + NOTICED_S, lambda: self._noticed(owner)))
+        self._scheduled.append((self.now + DETECTION_S, lambda: self._crash_detected(owner)))
 
-    def _noticed(self, owner: _Target) -> None:
-        owner.guard.target_crashed(owner.incarnation, "it", self.now, UNIX + self.now)
-        owner.life += 1
+    def _crash_detected(self, owner: _Target) -> None:
+        owner.guard.target_crashed(owner.incarnation, "it", self.now, UNIX_START + self.now)
+        owner.incarnation_number += 1
         owner.guard.target_began()
 
 
-@given("{count:d} targets, of which a crashed one is back after {back:g} s")
-def targets(context: Any, count: int, back: float) -> None:
-    context.play = (count, back)
+@given("{count:d} targets, of which a crashed one is available again after {restart:g} s")
+def targets(context: Any, count: int, restart: float) -> None:
+    context.play = (count, restart)
     context.rule = QuarantineRule()
 
 
-@given("settings that never refuse a request for crashes")
-def never(context: Any) -> None:
+@given("settings that never refuse a request because of crashes")
+def never_refuse(context: Any) -> None:
     context.rule = QuarantineRule(refused_after=0)
 
 
-@when("for {seconds:d} s a request that crashes its target comes each {every:g} s, with {count:d} "
-      "that do not")  # fmt: skip
-def play(context: Any, seconds: int, every: float, count: int) -> None:
-    context.neighbours = {f"good-{number}" for number in range(count)}
-    keys = context.keys = _Keys(*context.play, context.rule)
+@when("for {seconds:d} s a request that crashes its target arrives every {every:g} s, with "
+      "{count:d} harmless ones")  # fmt: skip
+def simulate(context: Any, seconds: int, every: float, count: int) -> None:
+    context.harmless = {f"good-{number}" for number in range(count)}
+    keys = context.keys = _Simulation(*context.play, context.rule)
     ticks = round(every / TICK_S)
     for tick in range(round(seconds / TICK_S)):
         if tick % ticks == 0:
-            keys.ask(BAD)
+            keys.submit(BAD)
         for number in range(count):
-            # Each at its own moment, so that all orders occur.
+            # Each arrives at a different tick, so that all orders occur.
             if tick % ticks == (number * 7 + tick // ticks) % ticks:
-                keys.ask(f"good-{number}")
+                keys.submit(f"good-{number}")
         keys.step()
 
 
@@ -170,11 +170,11 @@
     assert all(t.quarantine.left_s(BAD, keys.now) >= seconds for t in keys.targets)
 
 
-@then("none of the {count:d} is refused")
+@then("none of the {count:d} harmless ones is refused")
 def none_refused(context: Any, count: int) -> None:
     assert context.keys.rejected == {BAD}, context.keys.rejected
     for target in context.keys.targets:
-        for content in context.neighbours:
+        for content in context.harmless:
             left_s = target.quarantine.left_s(content, context.keys.now)
             assert not left_s, (content, left_s)
 
@@ -183,12 +183,12 @@
 
 
 def _record(number: int, *contents: str, age_s: float = 0.0) -> CrashRecord:
-    return CrashRecord(f"i-{number}", UNIX + START - age_s, contents)
+    return CrashRecord(f"i-{number}", UNIX_START + START - age_s, contents)
 
 
-def _learn(context: Any, *records: CrashRecord) -> None:
+def _note_crashes(context: Any, *records: CrashRecord) -> None:
     for record in records:
-        context.quarantine.note_crash(record, context.now, UNIX + context.now)
+        context.quarantine.note_crash(record, context.now, UNIX_START + context.now)
 
 
 @given("a request that was running when {count:d} targets crashed")
@@ -196,7 +196,7 @@
     context.now = START
     context.quarantine = Quarantine(QuarantineRule())
     context.records = [_record(number, BAD) for number in range(count)]
-    _learn(context, *context.records)
+    _note_crashes(context, *context.records)
 
 
 @when("{lost:d} of them crash for another reason, and {again:d} of the others 1 s later")
@@ -204,42 +204,42 @@
     context.now = START
     context.quarantine = Quarantine(context.rule)
     asked = [tuple(f"r{number}-{slot}" for slot in range(12)) for number in range(lost)]
-    _learn(context, *(_record(number, *asked[number]) for number in range(lost)))
-    # What was lost runs at the others: each of these has some of all.
+    _note_crashes(context, *(_record(number, *asked[number]) for number in range(lost)))
+    # The lost requests are retried at the others: each of these runs some from every lost target.
     everything = [content for contents in asked for content in contents]
     context.asked = everything
     for number in range(again):
-        _learn(context, _record(lost + number, *everything[number::lost]))
+        _note_crashes(context, _record(lost + number, *everything[number::lost]))
 
 
 @then("no request is refused")
-def nobody_refused(context: Any) -> None:
+def no_request_refused(context: Any) -> None:
     assert context.quarantine.refused(context.now) == 0
     assert all(not context.quarantine.left_s(each, context.now) for each in context.asked)
 
 
-@when("a target runs it to an end")
-def ran(context: Any) -> None:
-    context.told = []
+@when("a target completes it")
+def completes(context: Any) -> None:
+    context.reported = []
     context.guard = CrashGuard(
-        context.quarantine, DecisionLog(0, lambda: START), context.told.append
+        context.quarantine, DecisionLog(0, lambda: START), context.reported.append
     )
     request = _Request(BAD)
     assert context.guard.rejection(request, GOOD_RUNS_S, context.now) is None
     context.guard.ended(request, "id", Outcome.SERVED, None, context.now)
 
 
-@when("a third target crashes while it runs it")
+@when("a third target crashes while running it")
 def crashes_under(context: Any) -> None:
     request = _Request(BAD)
     assert context.guard.rejection(request, GOOD_RUNS_S, context.now) is None
     context.guard.ended(request, "id", Outcome.UNKNOWN, Reason.SERVER_FAILED, context.now)
-    context.guard.target_crashed("i-third", "it", context.now, UNIX + context.now)
+    context.guard.target_crashed("i-third", "it", context.now, UNIX_START + context.now)
 
 
 @then("it may run at any target")
-def free(context: Any) -> None:
-    assert context.told == [], context.told
+def may_run_anywhere(context: Any) -> None:
+    assert context.reported == [], context.reported
     assert context.quarantine.standing(BAD, context.now) is Standing.FREE
 
 
@@ -247,7 +247,7 @@
 def two_suspected(context: Any) -> None:
     context.now = START
     context.quarantine = Quarantine(QuarantineRule())
-    _learn(context, _record(1, "one", "two"), _record(2, "one", "two"))
+    _note_crashes(context, _record(1, "one", "two"), _record(2, "one", "two"))
     context.guard = CrashGuard(context.quarantine, DecisionLog(0, lambda: START), lambda _: None)
 
 
@@ -257,12 +257,12 @@
     context.rejection = [context.guard.rejection(r, GOOD_RUNS_S, context.now) for r in context.pair]
 
 
-@then("the first one runs, and the other is told to come back in a moment")
+@then("the first one runs, and the other is refused with a short retry delay")
 def one_runs(context: Any) -> None:
     first, second = context.rejection
     assert first is None
     assert second.retry_delay_s == GOOD_RUNS_S, second
-    # Asked again on its way to the target, the first one is not in its own way.
+    # Checked again before it is sent to the target, the first one does not block itself.
     assert context.guard.rejection(context.pair[0], GOOD_RUNS_S, context.now) is None
 
 
@@ -276,58 +276,58 @@
     assert context.guard.rejection(context.pair[1], GOOD_RUNS_S, context.now) is None
 
 
-@when("a whole quarantine has passed")
+@when("a full quarantine period has passed")
 def quarantine_over(context: Any) -> None:
     assert context.quarantine.left_s(BAD, context.now) == MAX_QUARANTINE_S
     context.now += MAX_QUARANTINE_S
 
 
 @then("it may run alone")
-def alone(context: Any) -> None:
+def may_run_alone(context: Any) -> None:
     assert context.quarantine.standing(BAD, context.now) is Standing.ALONE
 
 
-@when("a target crashes while it runs it")
+@when("a target crashes while running it")
 def crashes_again(context: Any) -> None:
-    _learn(context, CrashRecord("i-again", UNIX + context.now, (BAD,)))
+    _note_crashes(context, CrashRecord("i-again", UNIX_START + context.now, (BAD,)))
 
 
-@then("it is refused for a whole quarantine")
-def refused_whole(context: Any) -> None:
+@then("it is refused for a full quarantine period")
+def refused_full_period(context: Any) -> None:
     assert context.quarantine.left_s(BAD, context.now) == MAX_QUARANTINE_S
 
 
-@when("both crashes are heard of once more")
-def heard_again(context: Any) -> None:
-    _learn(context, *context.records)
+@when("both crashes are reported again")
+def reported_again(context: Any) -> None:
+    _note_crashes(context, *context.records)
 
 
-@when("a third crash is heard of that was {age:g} s ago")
+@when("a third crash is reported that was {age:g} s ago")
 def old_crash(context: Any, age: float) -> None:
-    _learn(context, _record(99, BAD, age_s=age))
+    _note_crashes(context, _record(99, BAD, age_s=age))
 
 
-@when("{crashes:d} crashes with {count:d} requests each are heard of")
-def many(context: Any, crashes: int, count: int) -> None:
+@when("{crashes:d} crashes with {count:d} requests each are reported")
+def report_many(context: Any, crashes: int, count: int) -> None:
     context.now = START
     context.quarantine = Quarantine(QuarantineRule())
     for number in range(crashes):
-        _learn(context, _record(number, *(f"r{number}-{slot}" for slot in range(count))))
+        _note_crashes(context, _record(number, *(f"r{number}-{slot}" for slot in range(count))))
 
 
-@then("at most {contents:d} requests and {crashes:d} crashes are known")
+@then("at most {contents:d} requests and {crashes:d} crashes are kept")
 def bounded(context: Any, contents: int, crashes: int) -> None:
     assert len(context.quarantine) <= contents, len(context.quarantine)
     assert len(context.quarantine._crashes) <= crashes
 
 
-@given("the daemon beside a target that broke {count:d} requests off")
+@given("the daemon of a target that broke off {count:d} requests")
 def broke_off(context: Any, count: int) -> None:
     context.now = START
-    context.told = []
+    context.reported = []
     context.quarantine = Quarantine(QuarantineRule())
     context.guard = CrashGuard(
-        context.quarantine, DecisionLog(0, lambda: START), context.told.append
+        context.quarantine, DecisionLog(0, lambda: START), context.reported.append
     )
     for number in range(count):
         request = _Request(f"r{number}")
@@ -335,53 +335,53 @@
     assert context.guard.target_suspected == bool(count)
 
 
-def _leave(context: Any, content: str, at: float) -> None:
+def _disconnect_caller(context: Any, content: str, at: float) -> None:
     context.guard.ended(_Request(content), "id", Outcome.UNKNOWN, Reason.CANCELLED, at)
 
 
-@given("a request whose caller had left {soon:g} s before, and one whose caller had left {long:g} "
-       "s before")  # fmt: skip
-def left_before(context: Any, soon: float, long: float) -> None:
-    _leave(context, "soon", context.now - soon)
-    _leave(context, "long", context.now - long)
+@given("a request whose caller disconnected {soon:g} s before, and one whose caller "
+       "disconnected {long:g} s before")  # fmt: skip
+def disconnected_before(context: Any, soon: float, long: float) -> None:
+    _disconnect_caller(context, "soon", context.now - soon)
+    _disconnect_caller(context, "long", context.now - long)
 
 
-@when("the target ends without notice")
-def ends(context: Any) -> None:
-    context.guard.target_crashed("i-1", "it", context.now, UNIX + context.now)
+@when("the target ends unannounced")
+def ends_unannounced(context: Any) -> None:
+    context.guard.target_crashed("i-1", "it", context.now, UNIX_START + context.now)
 
 
-@then("its end is held against {count:d} requests, the first of these two among them")
-def held_against(context: Any, count: int) -> None:
-    (record,) = context.told
+@then("the crash record names {count:d} requests, the first of these two among them")
+def crash_names_requests(context: Any, count: int) -> None:
+    (record,) = context.reported
     assert set(record.contents) == {"r0", "r1", "r2", "soon"}, record
     assert len(record.contents) == count
 
 
-@given("the daemon beside a target, one of whose callers has left")
-def one_left(context: Any) -> None:
+@given("the daemon of a target, one of whose callers has disconnected")
+def one_disconnected(context: Any) -> None:
     broke_off(context, 0)
-    _leave(context, "left", context.now)
+    _disconnect_caller(context, "left", context.now)
 
 
-@then("the target's end is not looked for")
-def not_looked_for(context: Any) -> None:
+@then("the target is not suspected to have crashed")
+def not_suspected(context: Any) -> None:
     assert not context.guard.target_suspected
 
 
-@when("the target ends after it said that it leaves")
-def left(context: Any) -> None:
+@when("the target ends after announcing it")
+def ends_announced(context: Any) -> None:
     context.guard.target_left(context.now)
-    context.guard.target_crashed("i-next", "it", context.now, UNIX + context.now)
+    context.guard.target_crashed("i-next", "it", context.now, UNIX_START + context.now)
 
 
-@when("it answers another one {seconds:g} s later and then ends without notice")
-def answers(context: Any, seconds: float) -> None:
+@when("it completes another one {seconds:g} s later and then ends unannounced")
+def completes_another(context: Any, seconds: float) -> None:
     context.now += seconds
     context.guard.ended(_Request("fine"), "id", Outcome.SERVED, None, context.now)
-    context.guard.target_crashed("i-1", "it", context.now, UNIX + context.now)
+    context.guard.target_crashed("i-1", "it", context.now, UNIX_START + context.now)
 
 
-@then("nothing is held against them")
-def nothing_held(context: Any) -> None:
-    assert context.told == [], context.told
+@then("no crash is recorded")
+def no_crash_recorded(context: Any) -> None:
+    assert context.reported == [], context.reported
