--- a/features/contact.feature
+++ b/features/contact.feature
@@ -1,9 +1,9 @@
-Feature: A daemon knows when it hears none of its cell
+Feature: A daemon detects that it is isolated from its cell
 
-  Scenario Outline: Alone or not: <case>
-    Given a daemon of a cell of <count>, of which <retired> others are given up
+  Scenario Outline: Isolated or not: <case>
+    Given a daemon of a cell of <count>, of which <retired> others are retired
     When <who> is heard every 0.25 s for 4 s
-    Then it is <alone>, and holds back <seconds> s before it looks for the coordinator's role
+    Then it is <alone>, and waits <seconds> s before it tries to acquire the coordinator's role
 
     Examples:
       | case                              | count | retired | who                   | alone     | seconds |
@@ -15,17 +15,17 @@
       | it is all that the record counts  | 4     | 3       | nobody                | not alone | 0.5     |
       | a cell of its own                 | 1     | 0       | nobody                | not alone | 0.5     |
 
-  Scenario: A moment's silence is no sign of a cut
-    Given a daemon of a cell of 4, of which 0 others are given up
+  Scenario: A short silence does not make a daemon isolated
+    Given a daemon of a cell of 4, of which 0 others are retired
     When another member is heard every 1.9 s for 60 s
-    Then it is never alone meanwhile
+    Then it is never isolated meanwhile
 
-  # A daemon that hears all and is heard by nobody found its coordinator silent, took the role and,
-  # having it, admitted itself to the cell that had given it up: 2 to 4 of some 300 requests were
-  # not served, about every 5 s.
-  Scenario Outline: Who may take the role from a holder that is silent: <case>
-    Given a daemon of a cell of 4, of which 0 others are given up
-    And the record <counts> on this daemon
+  # Guards against a daemon that receives all messages while its own are lost. Its coordinator does not
+  # reply, so it takes the role and readmits itself to the cell that has retired it, which leaves some
+  # requests unserved about every 5 s.
+  Scenario Outline: Which daemons may take the coordinator's role from a silent holder: <case>
+    Given a daemon of a cell of 4, of which 0 others are retired
+    And the record <counts> this daemon as an active member
     When <who> is heard every 0.25 s for 4 s, and <answers>
     Then it <may> take the coordinator's role from a silent holder
 
--- a/features/cut_off.feature
+++ b/features/cut_off.feature
@@ -1,13 +1,13 @@
 @cluster.trio @proxied
-Feature: A daemon of three that is cut off from its peers harms nobody, while it reaches the store
+Feature: A daemon of three that is cut off from its peers, but reaches the store, does not disturb the others
 
-  One of three daemons was cut off from the others and still reached the platform's store. It took
-  the coordinator's role 1.3 s later, heard nobody but itself, counted its own word and the absence
-  of each other daemon as two of that one's three witnesses, wrote that both were lost and that all
-  keys were its own, and could not serve one of them, since nobody renewed its lease. The other two
-  took the role back and undid it, and so on every few seconds: in 25 s not one of 62 requests at
-  the two sound daemons was served. The log shows "coordinator-taken" at the cut one, then a
-  "record" in which it is the only active member.
+  Guards against a daemon that is cut off from the others, still reaches the platform's store and takes
+  the coordinator's role. It hears only itself, counts its own vote and the absence of each other daemon
+  as two of that daemon's three witnesses, and writes that both are lost and that it owns all keys. It
+  cannot serve them, since nobody renews its lease. The other two take the role back and undo the change,
+  and this repeats every few seconds, so that the two sound daemons serve no request either. The log then
+  shows "coordinator-taken" at the daemon that is cut off, and a "record" in which it is the only active
+  member.
 
   Scenario: Keys are served by the other two for as long as one is cut off
     Given callers send requests to "premview"
@@ -28,10 +28,9 @@
     Then every key of "premview" is served again
     And the guarantees hold for "premview"
 
-  # It reaches all others, so none of its witnesses misses it; no answer reaches it, so it has no
-  # lease. It went on being an owner that serves nothing: of 118 requests in 12 s, 20 were not
-  # served later than 3 s after the cut. The status shows it: active, 64 shards, "no ownership
-  # lease", at the record's first version.
+  # Guards against an owner that serves nothing for as long as the cut lasts. Its messages reach all
+  # others, so none of its witnesses reports it missing; no reply reaches it, so it has no lease. Its
+  # status then shows it as active with 64 shards and "no ownership lease", at the record's first version.
   Scenario: A daemon that no peer can reach hands its keys over
     Given callers send requests to "premview"
     When the links towards the owner of "acct-1" are cut
--- a/features/front_door.feature
+++ b/features/front_door.feature
@@ -1,10 +1,10 @@
 Feature: The README's first command
 
-  `make run` is what a newcomer plays first: 18 daemons and as many servers, mixed traffic, one
-  planned stop, a changed row. It broke its promise "a planned stop cuts no request" in three of
-  ten plays, and no test played it.
+  `make run` is the first command that a new user runs: 18 daemons and as many servers, mixed traffic,
+  one planned stop and a changed row. Guards against a demonstration that violates its own guarantee
+  "a planned stop cuts no request".
 
   Scenario: The demonstration keeps its promises
-    When the demonstration is played
-    Then it prints 8 promises, and each was held
+    When the demonstration is run
+    Then it prints 8 guarantees, and each one held
     And it ends with exit code 0 by itself
--- a/features/steps/cold_steps.py
+++ b/features/steps/cold_steps.py
@@ -1,4 +1,4 @@
-"""Steps of cold targets: what they get in any second, whatever comes."""
+"""Steps that test the rate of requests to a cold target, at any rate of arrivals."""
 
 from typing import Any
 from unittest import mock
@@ -15,7 +15,7 @@
 COLD_S = 3.0
 
 
-@given("a target that bears {per_s:d} requests a second while it is cold")
+@given("a target that sustains {per_s:d} requests a second while it is cold")
 def cold_target(context: Any, per_s: int) -> None:
     context.limit = ColdLimit()
     context.limit.set_rate(per_s)
@@ -23,12 +23,12 @@
     context.too_early = []
 
 
-@given("a target of which nothing is said")
+@given("a target without a limit while it is cold")
 def unlimited(context: Any) -> None:
     cold_target(context, 0)
 
 
-def _play(context: Any, arrivals: list[float]) -> None:
+def _offer(context: Any, arrivals: list[float]) -> None:
     limit = context.limit
     limit.set_cold_time(COLD_S, START)
     for now in arrivals:
@@ -44,14 +44,14 @@
         context.sent.append(now)
 
 
-@when("it says that it is cold for 3 s and {count:d} requests a second come")
+@when("it reports that it is cold for 3 s and {count:d} requests a second come")
 def steady(context: Any, count: int) -> None:
-    _play(context, [START + number / count for number in range(int(COLD_S * count))])
+    _offer(context, [START + number / count for number in range(int(COLD_S * count))])
 
 
-@when("it says that it is cold for 3 s and {count:d} requests come at once, each second")
+@when("it reports that it is cold for 3 s and {count:d} requests come at once, each second")
 def bursts(context: Any, count: int) -> None:
-    _play(context, [START + second for second in range(int(COLD_S)) for _ in range(count)])
+    _offer(context, [START + second for second in range(int(COLD_S)) for _ in range(count)])
 
 
 @then("it gets at most {most:d} requests in any second while it is cold")
@@ -62,34 +62,34 @@
 
 
 @then("it gets at least {least:d} requests in these 3 s")
-def used(context: Any, least: int) -> None:
+def gets_at_least(context: Any, least: int) -> None:
     assert len(context.sent) >= least, len(context.sent)
 
 
-@then("whoever is refused is told to come back when there is room")
-def told_when(context: Any) -> None:
+@then("each refused request gets a retry delay after which capacity is free")
+def retry_delays_hold(context: Any) -> None:
     assert not context.too_early, context.too_early[:3]
 
 
-@when("it gets {count:d} requests in a second and then says that it is cold")
-def turned_cold(context: Any, count: int) -> None:
+@when("it gets {count:d} requests in a second and then reports that it is cold")
+def becomes_cold(context: Any, count: int) -> None:
     for number in range(count):
         context.limit.sent(START - 1.0 + number / count)
     context.limit.set_cold_time(COLD_S, START)
 
 
 @then("it gets no request for {seconds:g} s")
-def nothing_for(context: Any, seconds: float) -> None:
+def gets_nothing_for(context: Any, seconds: float) -> None:
     assert context.limit.capacity_in_s(START + seconds) > 0.0
 
 
-@when("there is doubt whether it is cold")
-def doubt(context: Any) -> None:
+@when("it is suspected to be cold")
+def suspected(context: Any) -> None:
     context.limit.suspect_cold(START)
 
 
-@when("it says {seconds:g} s later that it is not cold")
-def says_warm(context: Any, seconds: float) -> None:
+@when("it reports {seconds:g} s later that it is not cold")
+def reports_warm(context: Any, seconds: float) -> None:
     context.limit.set_cold_time(0.0, START + seconds)
 
 
@@ -98,20 +98,20 @@
     assert context.limit.is_cold(START + 0.6) is (what == "cold")
 
 
-@given("a target with {slots:d} slots that bears {per_s:d} requests a second while it is cold")
-def slots_of_cold(context: Any, slots: int, per_s: int) -> None:
+@given("a target with {slots:d} slots that sustains {per_s:d} requests a second while it is cold")
+def cold_target_with_slots(context: Any, slots: int, per_s: int) -> None:
     context.slots = TargetSlots(OverloadPolicy(), LinkQueue(1000.0))
     context.slots.set_slots(slots)
     context.slots.cold.set_rate(per_s)
 
 
-@when("it says that it is cold for 3 s")
-def says_cold(context: Any) -> None:
+@when("it reports that it is cold for 3 s")
+def reports_cold(context: Any) -> None:
     context.slots.cold.set_cold_time(COLD_S, START)
 
 
-@then("it tells {slots:d} slots and a capacity of {capacity:g} requests a second")
-def tells(context: Any, slots: int, capacity: float) -> None:
+@then("it reports {slots:d} slots and a capacity of {capacity:g} requests a second")
+def reports_capacity(context: Any, slots: int, capacity: float) -> None:
     with mock.patch.object(target_slots, "boot_time", lambda: START + 1.0):
         assert context.slots.load().slots == slots, context.slots.load()
         assert context.slots.capacity() == capacity, context.slots.capacity()
--- a/features/steps/contact_steps.py
+++ b/features/steps/contact_steps.py
@@ -1,4 +1,4 @@
-"""Steps of a daemon's contact with its cell, in virtual time."""
+"""Steps that test a daemon's contact with its cell, in virtual time."""
 
 from dataclasses import replace
 from typing import Any
@@ -13,7 +13,7 @@
 STEP_S = 0.05
 
 
-@given("a daemon of a cell of {count:d}, of which {retired:d} others are given up")
+@given("a daemon of a cell of {count:d}, of which {retired:d} others are retired")
 def cell(context: Any, count: int, retired: int) -> None:
     names = _names(count)
     joiners = tuple(_joiner(name) for name in names)
@@ -40,27 +40,27 @@
         "a stranger": PeerId("stranger", "10.9.9.9:1"),
         "itself": PeerId(members[0].incarnation, members[0].peer),
     }
-    context.alone_at = []
-    next_word = pause
+    context.isolated_at = []
+    next_message_at = pause
     for step in range(1, round(seconds / STEP_S) + 1):
         context.now = step * STEP_S
-        if who in peers and context.now >= next_word:
-            next_word += pause
+        if who in peers and context.now >= next_message_at:
+            next_message_at += pause
             context.contact.note_received(peers[who], context.now)
             if answers == "answers it":
                 context.contact.note_reply(peers[who], context.now)
         if context.contact.is_isolated(context.now):
-            context.alone_at.append(context.now)
+            context.isolated_at.append(context.now)
 
 
-@then("it is {alone}, and holds back {seconds:g} s before it looks for the coordinator's role")
-def is_isolated(context: Any, alone: str, seconds: float) -> None:
-    assert context.contact.is_isolated(context.now) == (alone == "alone")
+@then("it is {isolated}, and waits {seconds:g} s before it tries to acquire the coordinator's role")
+def is_isolated(context: Any, isolated: str, seconds: float) -> None:
+    assert context.contact.is_isolated(context.now) == (isolated == "alone")
     assert context.contact.election_delay_s(context.now, lease_held=False) == seconds
 
 
-@given("the record {counts} on this daemon")
-def counts_on(context: Any, counts: str) -> None:
+@given("the record {counts} this daemon as an active member")
+def counts_as_active(context: Any, counts: str) -> None:
     if counts == "does not count":
         members = context.record.members
         first = replace(members[0], state=MemberState.RETIRED)
@@ -73,6 +73,6 @@
     assert context.contact.may_replace_coordinator(context.now) == (may == "may")
 
 
-@then("it is never alone meanwhile")
-def never_alone(context: Any) -> None:
-    assert not context.alone_at, context.alone_at[:3]
+@then("it is never isolated meanwhile")
+def never_isolated(context: Any) -> None:
+    assert not context.isolated_at, context.isolated_at[:3]
--- a/features/steps/cut_off_steps.py
+++ b/features/steps/cut_off_steps.py
@@ -1,4 +1,4 @@
-"""Steps of daemons that are cut off for long."""
+"""Steps that test daemons that are cut off from their peers for seconds."""
 
 import time
 from typing import Any
@@ -10,10 +10,10 @@
 from pearward_state.records import MemberState
 
 PAUSE_S = 0.02
-"""Between two requests of a caller that watches whether all keys are served."""
+"""Pause in seconds between two requests that check whether all keys are served."""
 
 
-def _active(context: Any, service: str) -> set[str]:
+def _active_servers(context: Any, service: str) -> set[str]:
     record = context.cluster.record(service)
     return {m.server for m in record.members if m.state is MemberState.ACTIVE}
 
@@ -26,14 +26,14 @@
 
 
 @when('the links towards the owner of "{key}" are cut')
-def cut_towards(context: Any, key: str) -> None:
+def cut_links_towards(context: Any, key: str) -> None:
     node = _owner(context, key)
     _mark_unreachable(context, node)
     context.notes["faults"] = [{"from": "*", "to": node.ip, "kind": "cut"}]
     context.cluster.set_link_faults(context.notes["faults"])
 
 
-@when('two daemons that do not own "{key}" are frozen until the record gives them up')
+@when('two daemons that do not own "{key}" are frozen until they are not active in the record')
 def freeze_two(context: Any, key: str) -> None:
     owner = _owner(context, key)
     others = [node for node in context.cluster.of(owner.service) if node is not owner]
@@ -41,13 +41,14 @@
         _mark_unreachable(context, node)
         context.cluster.freeze(node)
         wait_until(
-            lambda n=node: n.server not in _active(context, n.service), f"{node.name} to be lost"
+            lambda n=node: n.server not in _active_servers(context, n.service),
+            f"{node.name} to be lost",
         )
     context.notes["frozen"] = others[:2]
 
 
-@when("the frozen ones go on")
-def frozen_go_on(context: Any) -> None:
+@when("the two frozen daemons are resumed")
+def resume_two(context: Any) -> None:
     for node in context.notes.pop("frozen"):
         context.cluster.resume(node)
         context.notes["unreachable"].remove(node)
@@ -55,7 +56,7 @@
 
 @then('every key of "{service}" stays served for {seconds:d} seconds')
 def stays_served(context: Any, service: str, seconds: int) -> None:
-    """Ask for one key after the other; each has to be served within one request's deadline."""
+    """Request one key after the other; each has to be served within one request's deadline."""
     began = time.monotonic()
     unserved: list[tuple[float, str]] = []
     asked = 0
--- a/features/steps/front_door_steps.py
+++ b/features/steps/front_door_steps.py
@@ -1,4 +1,4 @@
-"""Steps that play the demonstration as a newcomer does."""
+"""Steps that run the demonstration as a new user does."""
 
 import subprocess
 import sys
@@ -6,29 +6,29 @@
 
 from behave import then, when
 
-PLAY_LIMIT_S = 120
-"""Time after which a demonstration that does not end counts as failed."""
+DEMONSTRATION_TIMEOUT_S = 120
+"""Seconds after which a demonstration that has not ended counts as failed."""
 
 
-@when("the demonstration is played")
-def play(context: Any) -> None:
-    context.played = subprocess.run(
+@when("the demonstration is run")
+def run_demonstration(context: Any) -> None:
+    context.demonstration = subprocess.run(
         [sys.executable, "-m", "pearward_devtools.launcher"],
         capture_output=True,
         text=True,
         check=False,
-        timeout=PLAY_LIMIT_S,
+        timeout=DEMONSTRATION_TIMEOUT_S,
     )
 
 
-@then("it prints {count:d} promises, and each was held")
+@then("it prints {count:d} guarantees, and each one held")
 def all_held(context: Any, count: int) -> None:
-    lines = context.played.stdout.splitlines()
+    lines = context.demonstration.stdout.splitlines()
     verdicts = [line for line in lines if line.startswith(("held", "BROKEN"))]
-    assert len(verdicts) == count, context.played.stdout + context.played.stderr
-    assert all(line.startswith("held") for line in verdicts), context.played.stdout
+    assert len(verdicts) == count, context.demonstration.stdout + context.demonstration.stderr
+    assert all(line.startswith("held") for line in verdicts), context.demonstration.stdout
 
 
 @then("it ends with exit code {code:d} by itself")
 def ends(context: Any, code: int) -> None:
-    assert context.played.returncode == code, context.played.stderr
+    assert context.demonstration.returncode == code, context.demonstration.stderr
--- a/features/steps/key_shedding_steps.py
+++ b/features/steps/key_shedding_steps.py
@@ -1,4 +1,4 @@
-"""Steps that replay a key that is asked for more often than its owner can run it."""
+"""Steps that simulate a key that is requested more often than its owner can run it."""
 
 from collections.abc import Iterator
 from random import Random
@@ -12,7 +12,7 @@
 
 
 class _Owner:
-    """One owner: what its daemon handles a second, and what of the key it runs."""
+    """An owner: the rates at which its daemon handles requests and it runs those for the key."""
 
     def __init__(self, runs_per_s: float, handles_per_s: float) -> None:
         self.runs_per_s = runs_per_s
@@ -22,15 +22,15 @@
         self._at = 0.0
 
     def handle(self, now: float) -> None:
-        """Handle one request, whatever becomes of it."""
+        """Handle one request, whether it runs or not."""
         passed = now - self._at
         self._at = now
         self.behind_s = max(0.0, self.behind_s - passed) + 1.0 / self.handles_per_s
-        # Two may wait: what arrives while a slot is about to be free still finds it.
+        # Two may wait: a request that arrives shortly before a slot is free still gets it.
         self._credit = min(3.0, self._credit + passed * self.runs_per_s)
 
     def take(self, now: float) -> bool:
-        """Handle one request for the key; return whether there was room to run it."""
+        """Handle one request for the key; return whether there was capacity to run it."""
         self.handle(now)
         if self._credit < 1.0:
             return False
@@ -39,7 +39,7 @@
 
 
 def _arrivals(rates: list[tuple[float, float]], rng: Random) -> Iterator[float]:
-    """Yield times at which requests come: (requests a second, until) one after the other."""
+    """Yield arrival times of requests for consecutive pairs of requests a second and end time."""
     now = 0.0
     for per_s, until in rates:
         while now < until:
@@ -47,18 +47,18 @@
             yield now
 
 
-def _play(
+def _simulate(
     context: Any, rates: list[tuple[float, float]], others: float, *, sheds: bool = True
 ) -> None:
-    """Bring requests for the hot key and for other keys of its owner."""
+    """Simulate requests for the hot key and for other keys of its owner."""
     rng = Random(7)
     owner = context.owner
     daemons = [KeyShedding(Random(n)) for n in range(context.daemons)]
     end = rates[-1][1]
-    coming = [(at, True) for at in _arrivals(rates, rng)]
-    coming += [(at, False) for at in _arrivals([(others, end)], rng)] if others else []
+    arrivals = [(at, True) for at in _arrivals(rates, rng)]
+    arrivals += [(at, False) for at in _arrivals([(others, end)], rng)] if others else []
     context.sent, context.served, context.shed, context.behind = [], [], [], []
-    for at, hot in sorted(coming):
+    for at, hot in sorted(arrivals):
         if not hot:
             owner.handle(at)
             continue
@@ -83,39 +83,39 @@
     context.owner = _Owner(runs, handles)
 
 
-@when("its key is asked for {hot:d} times a second for {seconds:g} s, and other keys {others:d} "
-      "times")  # fmt: skip
+@when("its key is requested {hot:d} times a second for {seconds:g} s, and other keys "
+      "{others:d} times")  # fmt: skip
 def hot_key(context: Any, hot: int, seconds: float, others: int) -> None:
     context.load = ([(hot, seconds)], others)
-    _play(context, *context.load)
+    _simulate(context, *context.load)
 
 
-@when("its key is asked for as often without shedding")
-def without(context: Any) -> None:
-    _play(context, [(240, 8.0)], 60, sheds=False)
+@when("its key is requested as often without shedding")
+def without_shedding(context: Any) -> None:
+    _simulate(context, [(240, 8.0)], 60, sheds=False)
 
 
-@when("its key is asked for {hot:d} times a second for {seconds:g} s, and then {usual:d} times a "
-      "second")  # fmt: skip
+@when("its key is requested {hot:d} times a second for {seconds:g} s, and then {usual:d} "
+      "times a second")  # fmt: skip
 def hot_then_usual(context: Any, hot: int, seconds: float, usual: int) -> None:
-    context.over_at = seconds
-    _play(context, [(hot, seconds), (usual, seconds + 20.0)], 0)
+    context.hot_until = seconds
+    _simulate(context, [(hot, seconds), (usual, seconds + 20.0)], 0)
 
 
-def _a_second(times: list[float], since: float, until: float) -> float:
+def _per_second(times: list[float], since: float, until: float) -> float:
     return sum(since <= at < until for at in times) / (until - since)
 
 
-@then("from {since:g} s on the owner's daemon is asked for the key at most {most:d} times a "
-      "second")  # fmt: skip
+@then("from {since:g} s on the owner's daemon receives at most {most:d} requests a second "
+      "for the key")  # fmt: skip
 def asked_at_most(context: Any, since: float, most: int) -> None:
-    asked = _a_second(context.sent, since, context.end)
+    asked = _per_second(context.sent, since, context.end)
     assert asked <= most, asked
 
 
 @then("at least {least:d} requests a second of the key are served from {since:g} s on")
 def served_at_least(context: Any, least: int, since: float) -> None:
-    served = _a_second(context.served, since, context.end)
+    served = _per_second(context.served, since, context.end)
     assert served >= least, served
 
 
@@ -131,18 +131,18 @@
     assert behind >= least, behind
 
 
-@then("from {seconds:g} s after that on, at most {most:d} in 100 requests are refused where they "
-      "come in")  # fmt: skip
-def seen_soon(context: Any, seconds: float, most: int) -> None:
-    since = context.over_at + seconds
-    shed = _a_second(context.shed, since, context.end)
-    sent = _a_second(context.sent, since, context.end)
+@then("from {seconds:g} s after that on, at most {most:d} in 100 requests are refused at "
+      "the ingress daemon")  # fmt: skip
+def few_refused_at_ingress(context: Any, seconds: float, most: int) -> None:
+    since = context.hot_until + seconds
+    shed = _per_second(context.shed, since, context.end)
+    sent = _per_second(context.sent, since, context.end)
     assert shed <= (shed + sent) * most / 100, (shed, sent)
 
 
-@given("a daemon that sends on {per_s:d} requests a second for a key, of which one in six is "
-       "refused")  # fmt: skip
-def by_chance(context: Any, per_s: int) -> None:
+@given("a daemon that forwards {per_s:d} requests a second for a key, of which one in six "
+       "is refused")  # fmt: skip
+def few_refusals(context: Any, per_s: int) -> None:
     shedding = KeyShedding(Random(3))
     context.shed = 0
     for number in range(200):
@@ -155,7 +155,7 @@
             shedding.served(SERVICE, KEY, now)
 
 
-@then("it refuses none of 200 by itself")
+@then("it sheds none of 200 requests")
 def none_shed(context: Any) -> None:
     assert context.shed == 0, context.shed
 
@@ -167,6 +167,6 @@
         context.shedding.refused(SERVICE, key, key * 0.001)
 
 
-@then("it knows at most {most:d} of them")
-def few_known(context: Any, most: int) -> None:
+@then("it keeps at most {most:d} of them on record")
+def few_on_record(context: Any, most: int) -> None:
     assert len(context.shedding._seen) <= most == MAX_KEYS, len(context.shedding._seen)
--- a/features/steps/peer_link_steps.py
+++ b/features/steps/peer_link_steps.py
@@ -1,4 +1,4 @@
-"""Steps of connections between daemons that go silent, in virtual time."""
+"""Steps that test silent connections between daemons, in virtual time."""
 
 from typing import Any
 
@@ -16,38 +16,38 @@
 
 
 class _Transport(StringTransport):  # type: ignore[misc]
-    """Keeps what is written and notes an abort."""
+    """Keeps the data that is written and records an abort."""
 
     aborted = False
 
     def setTcpNoDelay(self, enabled: bool) -> None:
-        """Nothing is delayed here."""
+        """Does nothing, as there is no socket."""
 
     def setTcpKeepAlive(self, enabled: bool) -> None:
-        """The kernel has no part in this."""
+        """Does nothing, as there is no socket."""
 
     def abortConnection(self) -> None:
         self.aborted = True
 
 
 class _Handler:
-    """Takes what peers send."""
+    """Ignores all messages of peers."""
 
     def control_received(self, sender: PeerId, message: Any) -> None:
-        """Nothing is expected."""
+        """Does nothing."""
 
     def peer_identified(self, peer: PeerId, expected: frozenset[str]) -> None:
-        """Nothing is concluded."""
+        """Does nothing."""
 
 
-@given("a connection to another daemon that has not greeted")
+@given("a connection to another daemon that has not sent a greeting")
 def not_greeted(context: Any) -> None:
     context.clock = Clock()
     context.transport = _Transport()
     me = PeerId("me", "127.0.0.1:1")
-    checks = LivenessMonitor(context.clock)
+    monitor = LivenessMonitor(context.clock)
     handler: Any = _Handler()
-    connection = PeerConnection(me, handler, context.clock, checks, opener=True, window=1024)
+    connection = PeerConnection(me, handler, context.clock, monitor, opener=True, window=1024)
     connection.makeConnection(context.transport)
     context.connection = connection
     context.other = Multiplexer(opener=False)
@@ -61,7 +61,7 @@
     assert context.connection.usable
 
 
-def _pass(context: Any, seconds: float, *, sends: bool, answers: bool) -> None:
+def _advance(context: Any, seconds: float, *, sends: bool, answers: bool) -> None:
     since = 0.0
     for _ in range(round(seconds / STEP_S)):
         context.clock.advance(STEP_S)
@@ -76,19 +76,19 @@
                 context.connection.dataReceived(b"".join(output))
 
 
-@when("a control message is sent every 0.4 s and nothing comes back for {seconds:g} s")
+@when("a control message is sent every 0.4 s and nothing is received for {seconds:g} s")
 def no_answer(context: Any, seconds: float) -> None:
-    _pass(context, seconds, sends=True, answers=False)
+    _advance(context, seconds, sends=True, answers=False)
 
 
 @when("a control message is sent every 0.4 s and pings are answered for {seconds:g} s")
 def pings_answered(context: Any, seconds: float) -> None:
-    _pass(context, seconds, sends=True, answers=True)
+    _advance(context, seconds, sends=True, answers=True)
 
 
-@when("nothing is sent and nothing comes back for {seconds:g} s")
-def rest(context: Any, seconds: float) -> None:
-    _pass(context, seconds, sends=False, answers=False)
+@when("nothing is sent and nothing is received for {seconds:g} s")
+def keep_idle(context: Any, seconds: float) -> None:
+    _advance(context, seconds, sends=False, answers=False)
 
 
 @then("the connection was aborted")
--- a/features/steps/way_time_steps.py
+++ b/features/steps/way_time_steps.py
@@ -1,4 +1,4 @@
-"""Steps of requests that waited on their way between two daemons."""
+"""Steps that test requests with a transit delay between two daemons."""
 
 from typing import Any
 from unittest import mock
@@ -23,7 +23,7 @@
 
 @given("a connection between two daemons whose clocks are {seconds:g} s apart")
 def connection(context: Any, seconds: float) -> None:
-    context.now, context.apart_s, context.taken = START_S, seconds, []
+    context.now, context.clock_difference_s, context.taken = START_S, seconds, []
     patch = mock.patch.object(peer_connection, "boot_time", lambda: context.now)
     patch.start()
     context.add_cleanup(patch.stop)
@@ -45,7 +45,7 @@
 
 
 def _sender_time(context: Any) -> float:
-    return float(context.now - context.apart_s)
+    return float(context.now - context.clock_difference_s)
 
 
 def _arrive(context: Any) -> None:
@@ -64,53 +64,53 @@
     )  # fmt: skip
 
 
-@when("a request with {left:d} ms left comes at once")
+@when("a request with {left:d} ms left arrives at once")
 def at_once(context: Any, left: int) -> None:
     _send(context, left, _ms(_sender_time(context)))
     context.now += 0.001
     _arrive(context)
 
 
-@when("the daemon stands still for {still:g} s and a request with {left:d} ms left "
-      "has waited for {waited:g} s")  # fmt: skip
-def stood_still(context: Any, still: float, left: int, waited: float) -> None:
-    context.now += still - waited
+@when("the daemon stalls for {stall:g} s and a request with {left:d} ms left has waited "
+      "for {waited:g} s")  # fmt: skip
+def stalled(context: Any, stall: float, left: int, waited: float) -> None:
+    context.now += stall - waited
     _send(context, left, _ms(_sender_time(context)))
     context.now += waited
     _arrive(context)
 
 
-@when("a request with {left:d} ms left comes every {pause:g} s for an hour, "
-      "and the sender's clock is 4% slower")  # fmt: skip
-def slower(context: Any, left: int, pause: float) -> None:
+@when("a request with {left:d} ms left arrives every {pause:g} s for an hour, and the "
+      "sender's clock is 4% slower")  # fmt: skip
+def slower_clock(context: Any, left: int, pause: float) -> None:
     for _ in range(round(HOUR_S / pause)):
         context.now += pause
-        context.apart_s += 0.04 * pause
+        context.clock_difference_s += 0.04 * pause
         at_once(context, left)
 
 
-@when("a request comes whose sender's clock was set back by {seconds:g} s")
-def set_back(context: Any, seconds: float) -> None:
-    context.apart_s += seconds
+@when("a request arrives whose sender's clock was set back by {seconds:g} s")
+def clock_set_back(context: Any, seconds: float) -> None:
+    context.clock_difference_s += seconds
     at_once(context, 400)
 
 
-@when("a request with {left:d} ms left comes that tells no time")
-def tells_none(context: Any, left: int) -> None:
+@when("a request with {left:d} ms left arrives without the time at which it was sent")
+def no_send_time(context: Any, left: int) -> None:
     _send(context, left, 0)
     _arrive(context)
 
 
-@then("it is taken with {left:d} ms left")
-def taken_with(context: Any, left: int) -> None:
+@then("it is accepted with {left:d} ms left")
+def accepted_with(context: Any, left: int) -> None:
     assert context.taken[-1].deadline_ms == left, context.taken[-1].deadline_ms
 
 
-@then("it is taken with between {least:d} and {most:d} ms left")
-def taken_between(context: Any, least: int, most: int) -> None:
+@then("it is accepted with between {least:d} and {most:d} ms left")
+def accepted_between(context: Any, least: int, most: int) -> None:
     assert least <= context.taken[-1].deadline_ms <= most, context.taken[-1].deadline_ms
 
 
-@then("each is taken with {left:d} ms left")
-def all_taken_with(context: Any, left: int) -> None:
+@then("each is accepted with {left:d} ms left")
+def all_accepted_with(context: Any, left: int) -> None:
     assert {head.deadline_ms for head in context.taken} == {left}
--- a/features/steps/witness_change_steps.py
+++ b/features/steps/witness_change_steps.py
@@ -1,4 +1,4 @@
-"""Steps of witness sets that change, on the cores alone."""
+"""Steps that test changes of witness sets, on the cores without I/O."""
 
 import sys
 from dataclasses import replace
@@ -16,7 +16,7 @@
 from tests.fuzz.cell_world import STEP_S, World
 
 FROZEN_S = 0.7
-"""Time that a frozen daemon is given to be taken for lost and given up."""
+"""Seconds for which a daemon stays frozen, enough for it to be considered lost and retired."""
 
 
 def _step(context: Any, seconds: float) -> None:
@@ -28,8 +28,8 @@
 # -- a cell of agents ------------------------------------------------------------
 
 
-@given("a cell of {count:d} daemons, of which the first runs requests and is leaving")
-def leaving(context: Any, count: int) -> None:
+@given("a cell of {count:d} daemons, of which the first runs requests and is draining")
+def draining(context: Any, count: int) -> None:
     world = context.world = World(count)
     world.take_role(world.nodes[0])
     _step(context, 1.0)
@@ -40,14 +40,14 @@
     _step(context, STEP_S)
 
 
-@given("the first coordinates, over and over")
-def coordinates(context: Any) -> None:
+@given("the first takes the coordinator's role several times")
+def take_role_repeatedly(context: Any) -> None:
     for _ in range(3):
         context.world.take_role(context.world.nodes[0])
 
 
-@when("one other is frozen until the record gives it up, the first is cut off, "
-      "and the other goes on")  # fmt: skip
+@when("one other is frozen until the record retires it, the first is cut off, and the "
+      "other is resumed")  # fmt: skip
 def cut_off(context: Any) -> None:
     world = context.world
     first, frozen = world.nodes[0], world.nodes[-1]
@@ -58,7 +58,7 @@
     frozen.paused = False
 
 
-@then("for {seconds:g} seconds no key has two that can act on it")
+@then("for {seconds:g} seconds no key has two owners that can act on it")
 def sole_owner(context: Any, seconds: float) -> None:
     _step(context, seconds)
 
@@ -78,21 +78,21 @@
     context.record = replace(formed, members=(first, *formed.members[1:]))
 
 
-@when("the owner reports that it has given up what {which} record took")
-def gives_up(context: Any, which: str) -> None:
+@when("the owner reports that it has released the keys that {which} record took")
+def report_released(context: Any, which: str) -> None:
     released = context.record.version - (which == "an older")
     view = CellView(context.cell_table, released={context.record.members[0].incarnation: released})
     context.planned = next_record(context.record, view, "w") or context.record
 
 
-@then("the former witnesses count still")
-def count_still(context: Any) -> None:
+@then("the former witnesses still count")
+def still_count(context: Any) -> None:
     first, before = context.planned.members[0], context.record.members[0]
     assert first.former_witnesses == before.former_witnesses, first
 
 
-@then("the former witnesses count no more")
-def count_no_more(context: Any) -> None:
+@then("the former witnesses no longer count")
+def no_longer_count(context: Any) -> None:
     first, before = context.planned.members[0], context.record.members[0]
     assert not first.former_witnesses and first.witnesses == before.witnesses, first
 
@@ -108,7 +108,7 @@
     assert world.served() == len(world.positions)
 
 
-@when("both others end for good, as an operator says")
+@when("both others have ended, and an operator releases them")
 def others_end(context: Any) -> None:
     world = context.world
     for node in world.nodes[1:]:
