--- a/tests/fuzz/retry_machine.py
+++ b/tests/fuzz/retry_machine.py
@@ -1,7 +1,7 @@
-"""Stateful fuzzing of the rules of outcomes: the oracle knows what the server really ran.
+"""Stateful fuzzing of the rules of outcomes: the oracle records what the server ran.
 
-A small model of caller, ingress and owner uses the real retry decision, request memory
-and admission; the network may lose a request or its answer, the owner may change.
+A small model of caller, ingress and owner uses the product's retry decision, request memory
+and admission; the network may lose a request or its response, and the owner may change.
 """
 
 from random import Random
@@ -25,7 +25,7 @@
 
 
 class RetryMachine(RuleBasedStateMachine):
-    """Requests with and without repeatability through attempts that end in every way."""
+    """Repeatable and unrepeatable requests, whose attempts end in every way."""
 
     @initialize(seed=st.integers(0, 1000))
     def begin(self, seed: int) -> None:
@@ -37,7 +37,7 @@
         self.granted_at = 0.0
         self.first_seen: dict[bytes, float] = {}
         self.runs: dict[bytes, int] = {}
-        self.requests = self.repeats = 0
+        self.requests = self.retries = 0
         self.slots = AdmissionQueue(AdmissionLimits(slots=3, queue=4, export_slots=1))
         self.started: list[Ticket] = []
         self.queued: list[Ticket] = []
@@ -57,29 +57,33 @@
         ran_before = self.runs.get(request_id, 0)
         outcome = self._attempts(request_id, repeatable, fates, prior_age)
         if outcome is Outcome.NOT_RUN:
-            assert self.runs.get(request_id, 0) == ran_before, "answered not-run, but it ran"
+            assert self.runs.get(request_id, 0) == ran_before, (
+                "the outcome is not-run, but the request ran"
+            )
         if outcome is Outcome.SERVED:
-            assert self.runs.get(request_id, 0) > ran_before, "served, but it did not run"
+            assert self.runs.get(request_id, 0) > ran_before, (
+                "the outcome is served, but the request did not run"
+            )
 
     def _attempts(
         self, request_id: bytes, repeatable: bool, fates: list[str], prior_age: float
     ) -> Outcome:
-        tally = AttemptHistory()
+        history = AttemptHistory()
         for number, fate in enumerate([*fates, "served"], start=1):
-            tally.begun()
-            outcome, reason = self._one(request_id, repeatable, fate, prior_age)
+            history.begun()
+            outcome, reason = self._attempt(request_id, repeatable, fate, prior_age)
             if outcome in (Outcome.SERVED, Outcome.ALREADY_RUN):
                 return outcome
-            tally.failed(outcome, reason)
+            history.failed(outcome, reason)
             attempt = Attempt(outcome, reason, number, 0, repeatable, True, True, False)
             before = self.budget.tokens
             decision = decide_retry(attempt, self.budget, 10.0, self.rng)
-            self.repeats += before > self.budget.tokens
+            self.retries += before > self.budget.tokens
             if not decision.again:
-                return tally.final(outcome)
+                return history.final(outcome)
         return Outcome.UNKNOWN
 
-    def _one(
+    def _attempt(
         self, request_id: bytes, repeatable: bool, fate: str, prior_age: float
     ) -> tuple[Outcome, Reason]:
         if fate == "refused":
@@ -101,7 +105,7 @@
 
     @rule(seconds=st.floats(0.1, 5.0))
     def pass_time(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the time."""
         self.now += seconds
 
     @rule()
@@ -126,7 +130,7 @@
 
     @rule(pick=st.integers(0, 9))
     def finish(self, pick: int) -> None:
-        """Give a slot back; whoever is next starts."""
+        """Free a slot; the tickets that are next start."""
         if not self.started:
             return
         self.slots.finish(self.started.pop(pick % len(self.started)), self.now)
@@ -148,7 +152,7 @@
         """Retries stay within their budget, slots and exports within their limits."""
         if not hasattr(self, "slots"):
             return
-        assert self.repeats <= 20 + RATIO * self.requests
+        assert self.retries <= 20 + RATIO * self.requests
         assert len(self.started) == self.slots.running <= 3
         exports = sum(t.request_class is RequestClass.EXPORT for t in self.started)
         assert exports <= 1
