--- a/features/request_path.feature
+++ b/features/request_path.feature
@@ -2,8 +2,8 @@
 Feature: A request from any daemon to its server and back
 
   Scenario: Every daemon serves every service
-    When each daemon is asked for 20 keys of "roster-app"
-    And each daemon is asked 10 times for "paypost"
+    When each daemon gets requests for 20 keys of "roster-app"
+    And each daemon gets 10 requests for "paypost"
     Then every response is served, complete and matches its request
     And all runs of a key were at one server
 
@@ -27,7 +27,7 @@
 
   Scenario: Headers over the limit are refused
     When a request with 9000 bytes of headers is sent to the first daemon
-    Then the connection is answered with 400 or closed
+    Then the connection gets a 400 response or is closed
     And "GET" for key "crew-1" of "roster-app" is served afterwards
 
   Scenario: Garbage on the peer port harms nobody
@@ -55,7 +55,7 @@
     Then the response is 502 "unknown" because of "server-failed"
 
   Scenario: A deadline that passes at the server gives an immediate response with the outcome unknown
-    When "POST" to "paypost" that works for 3000 ms has a deadline of 300 ms
+    When "POST" to "paypost" that runs 3000 ms has a deadline of 300 ms
     Then the response is 504 "unknown" because of "deadline"
     And the response arrived within 2000 ms
 
@@ -65,7 +65,7 @@
     And the request with that id ran once
 
   Scenario: An id seen before the owner's grant is never run
-    When "POST" to key "crew-9" of "roster-app" says that it is 3600000 ms old
+    When "POST" to key "crew-9" of "roster-app" states an age of 3600000 ms
     Then the response is 502 "unknown" because of "first-seen-before-grant"
 
   Scenario: A caller that disconnects cancels its request along the path
--- a/features/steps/cut_off_steps.py
+++ b/features/steps/cut_off_steps.py
@@ -42,7 +42,7 @@
         context.cluster.freeze(node)
         wait_until(
             lambda n=node: n.server not in _active_servers(context, n.service),
-            f"{node.name} to be lost",
+            f"{node.name} to be inactive in the record",
         )
     context.notes["frozen"] = others[:2]
 
--- a/features/steps/fault_steps.py
+++ b/features/steps/fault_steps.py
@@ -330,7 +330,7 @@
 
 @then('"{server}" eventually owns no shards')
 def owns_nothing(context: Any, server: str) -> None:
-    wait_until(lambda: _shards_of(context, server) == 0, f"{server} to own nothing")
+    wait_until(lambda: _shards_of(context, server) == 0, f"{server} to own no shards")
 
 
 @then('"{server}" eventually owns shards')
--- a/features/steps/request_steps.py
+++ b/features/steps/request_steps.py
@@ -27,15 +27,15 @@
     return response
 
 
-@when('each daemon is asked for {count:d} keys of "{service}"')
-def ask_keys(context: Any, count: int, service: str) -> None:
+@when('each daemon gets requests for {count:d} keys of "{service}"')
+def request_keys(context: Any, count: int, service: str) -> None:
     for node in context.cluster.nodes:
         for number in range(count):
             _call(context, node.caller, service, f"key-{number}")
 
 
-@when('each daemon is asked {count:d} times for "{service}"')
-def ask_pool(context: Any, count: int, service: str) -> None:
+@when('each daemon gets {count:d} requests for "{service}"')
+def request_pool(context: Any, count: int, service: str) -> None:
     for node in context.cluster.nodes:
         for _ in range(count):
             _call(context, node.caller, service)
@@ -107,7 +107,7 @@
             context.notes["raw"] = b""
 
 
-@then("the connection is answered with 400 or closed")
+@then("the connection gets a 400 response or is closed")
 def refused_or_closed(context: Any) -> None:
     raw = context.notes["raw"]
     assert raw == b"" or raw.startswith(b"HTTP/1.1 400"), raw
@@ -246,7 +246,7 @@
     assert response.status == 200 and not response.complete, response
 
 
-@when('"POST" to "{service}" that works for {work:d} ms has a deadline of {deadline:d} ms')
+@when('"POST" to "{service}" that runs {work:d} ms has a deadline of {deadline:d} ms')
 def short_deadline(context: Any, service: str, work: int, deadline: int) -> None:
     _call(
         context, _first(context).caller, service, method="POST", path=f"/w?work_ms={work}",
@@ -256,7 +256,7 @@
 
 @then("the response arrived within {limit:d} ms")
 def arrived_within(context: Any, limit: int) -> None:
-    # Far above the deadline and far below the server's running time: no measure of speed.
+    # The limit is far above the deadline and far below the running time: no measure of speed.
     assert context.notes["took_s"] * 1000 < limit
 
 
@@ -280,7 +280,7 @@
     assert len(runs) == 1, runs
 
 
-@when('"POST" to key "{key}" of "{service}" says that it is {age:d} ms old')
+@when('"POST" to key "{key}" of "{service}" states an age of {age:d} ms')
 def old_request(context: Any, key: str, service: str, age: int) -> None:
     _call(
         context, _first(context).caller, service, key, method="POST",
--- a/features/steps/suspension_steps.py
+++ b/features/steps/suspension_steps.py
@@ -22,7 +22,7 @@
         self.socket = mock.Mock()
 
     def setTcpNoDelay(self, enabled: bool) -> None:
-        """Does nothing, as there is no socket."""
+        """Does nothing, as the socket is a mock."""
 
 
 @given("a connection to a target that keeps idle connections for {seconds:d} s")
