--- a/features/coordinator_role.feature
+++ b/features/coordinator_role.feature
@@ -1,37 +1,37 @@
-Feature: The coordinator's role is held by one who plans from the record in force
+Feature: The coordinator plans from the record in force
 
-  A daemon took the role, read the record and was frozen. Another one had taken the role 0.2 s
-  before and still held itself for the coordinator: it took the frozen one for lost and wrote
-  three versions without it. Back again, the frozen one was the coordinator by the platform's
-  word, but planned from the version that it had read: there it was a member, everybody
-  reported, nothing was to be changed, so it wrote nothing, and only after a write of its own
-  did it read again. It stayed outside the cell for as long as nothing else happened. The log
-  shows it: "cell-belief" of version 49 at the one, "record" up to version 52 at the other, and
-  a status that is at record_version 52 with "no ownership lease".
+  A daemon that takes the coordinator's role and is frozen may be declared lost by the previous
+  coordinator, which still considers itself the holder and writes records without it. When the
+  frozen daemon resumes, the platform's store names it as the coordinator, but it plans from the
+  record that it read before. In that record it is a member, every member reports and nothing has
+  to change, so it writes nothing; and since it reads the record again only after a write of its
+  own, it stays outside the cell until something else changes. The symptoms are a "cell-belief" in
+  its log with an older version than the newest "record" in the other daemon's log, and a status
+  with the newest record_version and "no ownership lease".
 
-  Scenario: A coordinator that was replaced for a while plans from what was written meanwhile
+  Scenario: A coordinator that was replaced for a time plans from the record written meanwhile
     Given a coordinator of a cell of 4 daemons that has read the record
-    When another coordinator writes that the first daemon is no member any more
+    When another coordinator writes a record without the first daemon
     And that record reaches this coordinator's daemon from a peer
     And every daemon reports
     Then the first daemon is a member again
 
   Scenario: A coordinator learns from a member's report that there is a newer record
     Given a coordinator of a cell of 4 daemons that has read the record
-    When another coordinator writes that the first daemon is no member any more
-    And every daemon reports, the others that they act on that record
+    When another coordinator writes a record without the first daemon
+    And every daemon reports, and the others report that they act on that record
     Then the first daemon is a member again
 
-  Scenario: A look at the record that goes wrong is made again
+  Scenario: A failed read of the record is repeated
     Given a coordinator of a cell of 4 daemons that has read the record
-    And its daemon fails once as it takes a record
-    When another coordinator writes that the first daemon is no member any more
-    And every daemon reports, the others that they act on that record
+    And its daemon raises an error once when it takes a record
+    When another coordinator writes a record without the first daemon
+    And every daemon reports, and the others report that they act on that record
     Then the first daemon is a member again
 
-  Scenario Outline: A coordinator that hears nobody but itself takes nobody for lost: cell of <count>
+  Scenario Outline: A coordinator that hears only itself declares no member lost: cell of <count>
     Given a coordinator of a cell of <count> daemons that has read the record
-    When it alone reports for 3 seconds, and tells that it hears nobody
+    When only its own daemon reports for 3 seconds, and reports that it hears no other
     Then the record in the store is the one that it read
 
     Examples:
@@ -40,9 +40,9 @@
       | 3     |
       | 4     |
 
-  Scenario Outline: A daemon that hears none of its cell leaves the role to its holder: <case>
-    Given a daemon that seeks the coordinator of its cell, and <holder>
-    When it gets no answer for 20 seconds while it <hears>
+  Scenario Outline: A daemon that hears no other of its cell leaves the role to its holder: <case>
+    Given a daemon that looks for the coordinator of its cell, and <holder>
+    When it gets no reply for 20 seconds while it <hears>
     Then it <takes> the role
 
     Examples:
@@ -52,17 +52,17 @@
       | all that is left, later        | nobody holds the role      | hears nobody    | takes         |
       | started anew beside its server | it holds the role itself   | hears nobody    | takes         |
 
-  # A daemon that is asked by a heartbeat and does not coordinate says so. Such an answer may come
-  # late, from one that coordinated before; it used to end the heartbeats to the present
-  # coordinator, whose silence then, 0.7 s later, was reason to take the role from it.
-  Scenario: Who does not coordinate any more takes the coordinator from nobody
+  # A daemon that gets a heartbeat and does not coordinate says so in its reply. Such a reply of a
+  # former coordinator may arrive late. If it ended the heartbeats to the present coordinator, that
+  # one would send no more replies, and after 0.7 s without any the daemon would take over the role.
+  Scenario: A late reply of a former coordinator does not end heartbeats to the present one
     Given a daemon that follows the coordinator at "10.0.0.2:1"
-    When the daemon at "10.0.0.3:1" answers late that it does not coordinate
+    When a late reply of the daemon at "10.0.0.3:1" says that it does not coordinate
     Then it follows "10.0.0.2:1"
-    When the daemon at "10.0.0.2:1" answers late that it does not coordinate
-    Then it follows nobody
+    When a late reply of the daemon at "10.0.0.2:1" says that it does not coordinate
+    Then it follows no coordinator
 
-  Scenario: A daemon that takes the role anew lets go of what it did as coordinator before
+  Scenario: A daemon that takes the role again ends its earlier term as coordinator
     Given a daemon that has taken the role
-    When it takes the role once more, and its earlier term ends late
-    Then it coordinates, and waits for no more of the store than one coordinator does
+    When it takes the role again, and its earlier term as coordinator ends afterwards
+    Then it coordinates, with as many watches on the store as one coordinator has
--- a/features/environment.py
+++ b/features/environment.py
@@ -1,4 +1,4 @@
-"""Clusters of real processes, one for each feature that asks for one by a tag."""
+"""Start and stop clusters of real processes for the features whose tags request one."""
 
 import itertools
 import json
@@ -24,7 +24,7 @@
 
 
 def _services(tags: list[str]) -> list[ServiceSpec]:
-    """Return the services that a feature's tag ``cluster.<a>.<b>`` names."""
+    """Return the services named by a feature's tag ``cluster.<a>.<b>``."""
     for tag in tags:
         if tag.startswith("cluster."):
             return [SPECS[name] for name in tag.split(".")[1:]]
@@ -50,7 +50,7 @@
 
 
 def after_feature(context: Any, feature: Any) -> None:
-    """End the feature's cluster; keep its logs where a failure should be looked into."""
+    """Stop the feature's cluster; after a failure, copy its logs to the folder ``KEEP_LOGS``."""
     if context.mesh is not None:
         keep = os.environ.get("KEEP_LOGS")
         if keep and feature.status.name != "passed":
@@ -66,19 +66,19 @@
 
 
 def before_scenario(context: Any, scenario: Any) -> None:
-    """Give each scenario its own caller and clean notes."""
+    """Give each scenario its own caller and empty notes."""
     context.caller = Caller()
     context.answers = []
     context.notes = {}
 
 
 def after_step(context: Any, step: Any) -> None:
-    """Keep what the daemons say of themselves at the moment that a step fails."""
+    """Save the daemons' statuses when a step fails."""
     if context.cluster is not None and step.status.name != "passed":
-        _keep_statuses(context)
+        _save_statuses(context)
 
 
-def _keep_statuses(context: Any) -> None:
+def _save_statuses(context: Any) -> None:
     keep = os.environ.get("KEEP_LOGS")
     if not keep:
         return
@@ -90,7 +90,7 @@
 
 
 def after_scenario(context: Any, scenario: Any) -> None:
-    """End all faults and bring back what a scenario took away."""
+    """End all faults and restart the processes that the scenario stopped."""
     cluster = context.cluster
     if cluster is None:
         return
@@ -106,12 +106,12 @@
     try:
         cluster.wait_ready()
     except TimeoutError:
-        _keep_statuses(context)
+        _save_statuses(context)
         raise
 
 
 def run_pearward(context: Any, *arguments: str) -> subprocess.CompletedProcess[str]:
-    """Run the operators' command against the feature's platform."""
+    """Run the operators' command ``pearward`` against the feature's platform."""
     return subprocess.run(
         [sys.executable, "-m", "pearward_cli.main", "--platform", context.cluster.platform_address,
          *arguments],
--- a/features/foreign.feature
+++ b/features/foreign.feature
@@ -1,10 +1,10 @@
-Feature: What other writers send or write is read strictly
+Feature: Messages and entries of other writers are validated strictly
 
-  # Mutated valid messages: fields missing, of another type, huge, negative or nested, and bytes
-  # that cannot be read.
-  Scenario Outline: A reader gives a valid value or its own error, and nothing else: <reader>
+  # The input is a mutated valid message: with fields that are missing, of another type, huge,
+  # negative or nested, or with bytes that cannot be read.
+  Scenario Outline: A reader returns a valid value or raises its own error: <reader>
     When valid input of the <reader> reader is mutated 400 times
-    Then it gave valid values or its own error each time
+    Then it returned a valid value or raised its own error each time
 
     Examples:
       | reader         |
@@ -23,7 +23,7 @@
       | request        |
       | answer         |
 
-  Scenario Outline: A heartbeat that names no target to use: <fault>
+  Scenario Outline: An invalid heartbeat is refused: <fault>
     When a heartbeat is read with <fault>
     Then it is refused, and the error names <named>
 
@@ -39,14 +39,14 @@
       | no address                   | address         |
       | a mark of a life in its id   | id              |
 
-  Scenario: A heartbeat of another service names no target, and is told of once
-    Given a daemon beside a target of "roster-app" that beats
-    When 3 heartbeats of a target of "somebody-else" come
-    Then the daemon still serves its target
+  Scenario: Heartbeats of another service leave the local target unchanged and are logged once
+    Given a daemon with a local target of "roster-app" that sends heartbeats
+    When 3 heartbeats of a target of "somebody-else" arrive
+    Then the daemon still has its own target, which holds keys
     And it has logged one heartbeat that cannot be read
 
-  Scenario Outline: What a target tells of its load: <header>
-    When an answer says that its load is "<header>"
+  Scenario Outline: Load that a target reports: <header>
+    When a response reports the load "<header>"
     Then it is read as <meaning>
 
     Examples:
@@ -61,9 +61,9 @@
 
   # -- entries in the store ----------------------------------------------------------------
 
-  Scenario Outline: An own entry that another writer spoils is written again within two seconds: <how>
+  Scenario Outline: A daemon rewrites its entry within two seconds after another writer corrupts it: <how>
     Given a fleet of 6 targets in failure domains "a", "b" and "c" that serves
-    When the entry of daemon 1 is written over with <how>
+    When the entry of daemon 1 is overwritten with <how>
     Then daemon 1 has its own entry again after 2 s
     And no key changed its holder meanwhile
 
@@ -74,11 +74,11 @@
       | a state that is not named  |
       | another address            |
 
-  Scenario Outline: A key map that another writer spoils never replaces a good one: <when>
+  Scenario Outline: A key map that another writer corrupts never replaces a valid one: <when>
     Given a fleet of 6 targets in failure domains "a", "b" and "c" that serves
-    When the key map is spoiled <when>
+    When the key map is corrupted <when>
     Then every key is served after <seconds> s more
-    And the store has a key map again that all daemons know
+    And the store again has a key map that all daemons know
 
     Examples:
       | when                               | seconds |
--- a/features/steps/coordinator_role_steps.py
+++ b/features/steps/coordinator_role_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the coordinator's role, on a store in memory and without sockets."""
+"""Steps for the coordinator's role, with a store in memory and without sockets."""
 
 import json
 from dataclasses import replace
@@ -26,11 +26,11 @@
 SERVICE = "premview"
 KEY = f"cell/{SERVICE}"
 STEP_S = 0.05
-"""Time between two looks of a coordinator, as in the daemon."""
+"""Interval between two ticks of a coordinator, as in the daemon."""
 
 
 class _Daemon:
-    """What a coordinator asks of the daemon that it runs in."""
+    """Stand-in for the daemon in which a coordinator runs."""
 
     def __init__(self) -> None:
         self.known: CellRecord | None = None
@@ -43,19 +43,19 @@
     def record_written(self, record: CellRecord, value: bytes) -> None:
         if self.fails_once:
             self.fails_once = False
-            raise RuntimeError("a fault of this daemon's own")
+            raise RuntimeError("simulated error in the daemon")
         if self.known is None or record.version > self.known.version:
             self.known = record
 
     def table_read(self, service: str, value: bytes) -> None:
-        """Nothing is routed here."""
+        """Ignore the table, as nothing is routed."""
 
     def reply(self, peer: PeerId, reply: HeartbeatReply) -> None:
-        """Nobody waits for it."""
+        """Ignore the reply, as no daemon waits for it."""
 
 
 def _member(number: int, count: int) -> Member:
-    """Return a member with the witnesses that a cell of that size gives it."""
+    """Return a member with the witnesses that it has in a cell of *count* members."""
     name = f"i{number}"
     others = [f"i{n}" for n in range(count) if n != number]
     witnesses = {2: (name,), 3: (*others, name)}.get(count, tuple(others[:3]))
@@ -101,12 +101,12 @@
     assert context.daemon.known == context.first_record
 
 
-@given("its daemon fails once as it takes a record")
+@given("its daemon raises an error once when it takes a record")
 def fails_once(context: Any) -> None:
     context.daemon.fails_once = True
 
 
-@when("another coordinator writes that the first daemon is no member any more")
+@when("another coordinator writes a record without the first daemon")
 def replaced_meanwhile(context: Any) -> None:
     record = context.first_record
     owners = [(owner - 1) % (len(record.members) - 1) for owner in record.shards.owners]
@@ -138,9 +138,9 @@
     context.writer.on_heartbeat(peer, _heartbeat(context, number, adopted))
 
 
-@when("it alone reports for {seconds:g} seconds, and tells that it hears nobody")
+@when("only its own daemon reports for {seconds:g} seconds, and reports that it hears no other")
 def alone(context: Any, seconds: float) -> None:
-    """Plan as the coordinator does; only the time is given, and nothing is waited for."""
+    """Plan as the coordinator does, with the time passed as a value instead of waited for."""
     core = Coordinator(SERVICE, LeaseTiming(), 0.0)
     record = context.first_record
     table = _table(len(record.members))
@@ -167,7 +167,7 @@
         _report(context, number, context.first_record.version)
 
 
-@when("every daemon reports, the others that they act on that record")
+@when("every daemon reports, and the others report that they act on that record")
 def all_report_newer(context: Any) -> None:
     _report(context, 0, context.first_record.version)
     for number in range(1, len(context.first_record.members)):
@@ -183,7 +183,7 @@
     assert record.version > context.without_first.version
 
 
-# -- seeking -----------------------------------------------------------------------
+# -- election ----------------------------------------------------------------------
 
 
 ROLE_KEY = f"coordinator/{SERVICE}"
@@ -193,26 +193,26 @@
 }
 
 
-@given("a daemon that seeks the coordinator of its cell, and {holder}")
-def seeker(context: Any, holder: str) -> None:
+@given("a daemon that looks for the coordinator of its cell, and {holder}")
+def election(context: Any, holder: str) -> None:
     context.store = MemoryStore()
     if holder in HOLDERS:
         context.store.put(ROLE_KEY, HOLDERS[holder])
     context.taken = []
     me = PeerId("i0", "10.0.0.0:1")
-    context.seeker = CoordinatorElection(
+    context.election = CoordinatorElection(
         Clock(), context.store, me, SERVICE, Random(1), lambda address: None, context.taken.append
     )
 
 
-@when("it gets no answer for {seconds:d} seconds while it {hears}")
+@when("it gets no reply for {seconds:d} seconds while it {hears}")
 def no_answer(context: Any, seconds: int, hears: str) -> None:
     for step in range(int(seconds / STEP_S)):
         with patch(
             "pearward_daemon.coordinator_election.boot_time", return_value=1000.0 + step * STEP_S
         ):
             if not context.taken:
-                context.seeker.tick(0, 0.0, may_replace=hears != "hears nobody")
+                context.election.tick(0, 0.0, may_replace=hears != "hears nobody")
 
 
 @then("it takes the role")
@@ -230,7 +230,7 @@
 
 
 def _control(context: Any) -> ControlPlane:
-    """Return a control plane that nobody runs: no loop, no connection."""
+    """Return a control plane without an event loop and without connections."""
     settings = Settings.from_mapping(VALID)
     me = PeerId("i1", settings.peer_address)
     context.store = MemoryStore()
@@ -252,7 +252,7 @@
     _control(context).agent.set_coordinator(address)
 
 
-@when('the daemon at "{address}" answers late that it does not coordinate')
+@when('a late reply of the daemon at "{address}" says that it does not coordinate')
 def answers_late(context: Any, address: str) -> None:
     reply = HeartbeatReply(VALID["server"]["service"], False, 0)
     context.control.control_received(PeerId(f"at-{address}", address), reply)
@@ -263,13 +263,13 @@
     assert context.control.agent.coordinator == address, context.control.agent.coordinator
 
 
-@then("it follows nobody")
+@then("it follows no coordinator")
 def follows_nobody(context: Any) -> None:
     assert context.control.agent.coordinator == "", context.control.agent.coordinator
 
 
-def _coordinates(context: Any, lease: int) -> CellCoordinator:
-    """Let the daemon take the role and begin to watch; return its term."""
+def _take_role(context: Any, lease: int) -> CellCoordinator:
+    """Make the daemon take the role and watch the store; return its coordinator."""
     context.control._role_taken(lease)
     writer: CellCoordinator = context.control._cell_coordinator
     writer.tick()
@@ -282,18 +282,18 @@
     role = {"incarnation": control.incarnation, "address": "127.9.0.1:7401"}
     service = VALID["server"]["service"]
     context.store.put(f"coordinator/{service}", json.dumps(role).encode())
-    context.earlier = _coordinates(context, 1)
+    context.earlier_coordinator = _take_role(context, 1)
     context.waiting = len(context.store.watches)
     assert context.waiting
 
 
-@when("it takes the role once more, and its earlier term ends late")
+@when("it takes the role again, and its earlier term as coordinator ends afterwards")
 def role_again(context: Any) -> None:
-    _coordinates(context, 2)
-    context.earlier._give_up_role("")
+    _take_role(context, 2)
+    context.earlier_coordinator._give_up_role("")
 
 
-@then("it coordinates, and waits for no more of the store than one coordinator does")
+@then("it coordinates, with as many watches on the store as one coordinator has")
 def one_term(context: Any) -> None:
     assert context.control.coordinating
     assert len(context.store.watches) == context.waiting, len(context.store.watches)
--- a/features/steps/foreign_steps.py
+++ b/features/steps/foreign_steps.py
@@ -1,4 +1,4 @@
-"""Steps of messages and entries by other writers, mutated from valid ones."""
+"""Steps for messages and entries of other writers, made by mutating valid ones."""
 
 import base64
 import random
@@ -54,7 +54,7 @@
 from tests.fuzz.mesh_targets import SERVICE
 from tests.fuzz.mesh_world import KEYS
 
-BEAT = {
+HEARTBEAT = {
     "address": "10.128.0.9:8080",
     "born": 1_764_700_000_000,
     "information": {"service": "roster-app", "version": "v1", "zone": "a", "capacitySlots": 12},
@@ -87,13 +87,13 @@
     prior_age_ms=0, version=0, task_id="", position=7, body_length=0, target="i-1",
 )  # fmt: skip
 ITEM = {"privateKey": "k", "value": base64.b64encode(b"v").decode(), "revision": 4, "lease": 0}
-ODD: list[Any] = [
+UNEXPECTED_VALUES: list[Any] = [
     None, True, "7", -1, 2**70, 1e308, 0.5, [], {}, [[]], {"a": {"a": []}}, "", "x" * 300,
     "\x00", [1, 2, 3, 4], -(2**40), 65_536, "nan",
 ]  # fmt: skip
 
 
-def _answer_load(data: bytes) -> object:
+def _read_load(data: bytes) -> object:
     return PlatformDialect().response_facts(b"Server-Load: " + data).load
 
 
@@ -102,7 +102,9 @@
 
 
 READERS: dict[str, tuple[bytes, Callable[[bytes], object], type[Exception]]] = {
-    "heartbeat": (orjson.dumps(BEAT), lambda data: parse_heartbeat("i-1", data), InvalidRecord),
+    "heartbeat": (
+        orjson.dumps(HEARTBEAT), lambda data: parse_heartbeat("i-1", data), InvalidRecord,
+    ),
     "member": (encode_member(MEMBER), decode_member, InvalidRecord),
     "holder": (encode_holder(Holder("i-1", "one")), decode_holder, InvalidRecord),
     "key map": (encode_key_map(SECOND), decode_key_map, InvalidRecord),
@@ -112,7 +114,7 @@
     "configuration": (orjson.dumps(DOCUMENT), read_document, InvalidRecord),
     "drain": (b"{}", check_drain, InvalidRecord),
     "crash": (encode_crash(CrashRecord("i-1", 12.5, ("ab", "cd"))), decode_crash, InvalidRecord),
-    "answer's load": (b"3,1,8,150", _answer_load, InvalidRecord),
+    "answer's load": (b"3,1,8,150", _read_load, InvalidRecord),
     "store's item": (
         orjson.dumps(ITEM["value"]), lambda d: _item(ITEM | {"value": d}, 0), KeyError,
     ),
@@ -131,38 +133,42 @@
 
 
 def _mutated(data: bytes, rng: random.Random) -> bytes:
-    """Spoil bytes, or one value of a JSON document."""
+    """Return *data* with changed bytes, or with one value of its JSON document changed."""
     try:
         document = orjson.loads(data)
     except orjson.JSONDecodeError:
         document = None
     if document is None or not isinstance(document, dict) or rng.random() < 0.2:
-        return _cut_or_changed(data, rng)
-    _spoil(document, rng)
+        return _corrupt_bytes(data, rng)
+    _corrupt_value(document, rng)
     return orjson.dumps(document, option=orjson.OPT_NON_STR_KEYS)
 
 
-def _cut_or_changed(data: bytes, rng: random.Random) -> bytes:
-    spoiled = bytearray(data)
+def _corrupt_bytes(data: bytes, rng: random.Random) -> bytes:
+    corrupted = bytearray(data)
     for _ in range(rng.randint(1, 3)):
-        if spoiled:
-            spoiled[rng.randrange(len(spoiled))] = rng.randrange(256)
-    return bytes(spoiled[: rng.randint(0, len(spoiled))] if rng.random() < 0.5 else spoiled)
+        if corrupted:
+            corrupted[rng.randrange(len(corrupted))] = rng.randrange(256)
+    return bytes(corrupted[: rng.randint(0, len(corrupted))] if rng.random() < 0.5 else corrupted)
 
 
-def _spoil(node: Any, rng: random.Random) -> None:
-    """Change, take away or add one value somewhere in a document."""
+def _corrupt_value(node: Any, rng: random.Random) -> None:
+    """Replace or remove one value at a random place in a document."""
     keys = list(node) if isinstance(node, dict) else list(range(len(node)))
     if not keys:
         return
     key = rng.choice(keys)
     if isinstance(node[key], dict | list) and node[key] and rng.random() < 0.7:
-        _spoil(node[key], rng)
+        _corrupt_value(node[key], rng)
     elif rng.random() < 0.3:
         del node[key]
     else:
-        odd = rng.choice(ODD)
-        node[key] = odd if not isinstance(odd, int) or abs(odd) < 2**63 else str(odd)
+        unexpected = rng.choice(UNEXPECTED_VALUES)
+        node[key] = (
+            unexpected
+            if not isinstance(unexpected, int) or abs(unexpected) < 2**63
+            else str(unexpected)
+        )
 
 
 @when("valid input of the {reader} reader is mutated {times:d} times")
@@ -172,26 +178,26 @@
     context.outcomes = []
     read(data)
     for _ in range(times):
-        spoiled = _mutated(data, rng)
+        corrupted = _mutated(data, rng)
         try:
-            value = read(spoiled)
+            value = read(corrupted)
         except error:
             continue
         except Exception as other:
-            context.outcomes.append((spoiled, repr(other)))
+            context.outcomes.append((corrupted, repr(other)))
             continue
         if not VALID.get(reader, lambda v: True)(value):
-            context.outcomes.append((spoiled, repr(value)))
+            context.outcomes.append((corrupted, repr(value)))
 
 
-@then("it gave valid values or its own error each time")
-def readers_sound(context: Any) -> None:
+@then("it returned a valid value or raised its own error each time")
+def only_valid_values(context: Any) -> None:
     assert not context.outcomes, context.outcomes[:3]
 
 
 @when("a heartbeat is read with {fault}")
-def bad_beat(context: Any, fault: str) -> None:
-    target_heartbeat: dict[str, Any] = orjson.loads(orjson.dumps(BEAT))
+def read_invalid_heartbeat(context: Any, fault: str) -> None:
+    target_heartbeat: dict[str, Any] = orjson.loads(orjson.dumps(HEARTBEAT))
     name = "i-1"
     changes: dict[str, Callable[[], object]] = {
         "a state that is not named": lambda: target_heartbeat["status"].update(state="dozing"),
@@ -219,16 +225,16 @@
     assert named in context.error, context.error
 
 
-@given('a daemon beside a target of "roster-app" that beats')
-def beating(context: Any) -> None:
+@given('a daemon with a local target of "roster-app" that sends heartbeats')
+def daemon_with_local_target(context: Any) -> None:
     context.execute_steps(
         'Given a fleet of 6 targets in failure domains "a", "b" and "c" that serves'
     )
     context.node = context.world.nodes[1]
 
 
-@when('{count:d} heartbeats of a target of "{service}" come')
-def foreign_beats(context: Any, count: int, service: str) -> None:
+@when('{count:d} heartbeats of a target of "{service}" arrive')
+def foreign_heartbeats(context: Any, count: int, service: str) -> None:
     for sequence in range(1, count + 1):
         target_heartbeat = TargetHeartbeat(
             target="i-foreign", service=service, address="10.0.0.9:1", failure_domain="a",
@@ -238,8 +244,8 @@
         context.world.run(0.9)
 
 
-@then("the daemon still serves its target")
-def still_its_target(context: Any) -> None:
+@then("the daemon still has its own target, which holds keys")
+def target_unchanged(context: Any) -> None:
     assert context.node.daemon.core.local_target.grant_manager.target == context.node.target.id
     assert any(context.node.target.holds(key) for key in KEYS)
 
@@ -249,37 +255,37 @@
     assert context.node.daemon.log.counts["heartbeat_unreadable"] == 1
 
 
-@when('an answer says that its load is "{header}"')
+@when('a response reports the load "{header}"')
 def load_header(context: Any, header: str) -> None:
     context.facts = PlatformDialect().response_facts(b"Server-Load: " + header.encode())
 
 
-# -- entries ------------------------------------------------------------------------------------
+# -- entries in the store -----------------------------------------------------------------------
 
 
-@when("the entry of daemon {number:d} is written over with {how}")
-def spoil_entry(context: Any, number: int, how: str) -> None:
+@when("the entry of daemon {number:d} is overwritten with {how}")
+def corrupt_entry(context: Any, number: int, how: str) -> None:
     world = context.world
     key = member_key(f"instance-{number}")
     item = world.store.items[key]
     data = orjson.loads(item.value)
-    spoiled = {
+    corrupted = {
         "bytes that cannot be read": b"\xff\xfe",
         "the entry of daemon 2": world.store.items[member_key("instance-2")].value,
         "a state that is not named": orjson.dumps(data | {"state": "dozing"}),
         "another address": orjson.dumps(data | {"peer_address": "10.9.9.9:1"}),
     }[how]
-    context.good = item.value
+    context.valid_entry = item.value
     context.before = context.world.holders()
     world.store.revision += 1
-    world.store.put(Put(key, spoiled, item.lease))
+    world.store.put(Put(key, corrupted, item.lease))
 
 
 @then("daemon {number:d} has its own entry again after {seconds:g} s")
 def entry_restored(context: Any, number: int, seconds: float) -> None:
     context.world.run(seconds)
     now = context.world.store.items[member_key(f"instance-{number}")].value
-    assert decode_member(now) == decode_member(context.good), now
+    assert decode_member(now) == decode_member(context.valid_entry), now
 
 
 @then("no key changed its holder meanwhile")
@@ -287,8 +293,8 @@
     assert context.world.holders() == context.before
 
 
-@when("the key map is spoiled and {then_what}")
-def spoil_map(context: Any, then_what: str) -> None:
+@when("the key map is corrupted and {then_what}")
+def corrupt_key_map(context: Any, then_what: str) -> None:
     world = context.world
     world.store.revision += 1
     world.store.put(Put(key_map_key(SERVICE), b'{"service": 7}'))
@@ -306,7 +312,7 @@
         world.run(4.0)
 
 
-@then("the store has a key map again that all daemons know")
+@then("the store again has a key map that all daemons know")
 def map_restored(context: Any) -> None:
     world = context.world
     stored = decode_key_map(world.store.items[key_map_key(SERVICE)].value)
