--- a/features/drains.feature
+++ b/features/drains.feature
@@ -1,26 +1,26 @@
 Feature: Draining a failure domain, in virtual time
 
-  Nothing more is sent to the targets of a failure domain that operators drain, from the time
-  that they allow on until they take it back. The daemons' decisions are the real ones.
+  Operators drain a failure domain within a time that they allow. After it nothing is sent to the
+  domain's targets until the drain is ended. The daemons' decisions are those of the product.
 
-  # -- keys of targets that are drained ----------------------------------------------------
+  # -- keys of drained targets -------------------------------------------------------------
 
-  Scenario: Keys are handed over before the time that operators allow is over
+  Scenario: Keys are handed over within the time that operators allow
     Given a fleet of 6 targets in failure domains "a", "b" and "c" that serves
     When "b" is drained
     Then no target in "b" holds a key or gets a request after 3 s
     And every key is served after 0.2 s more
     And each daemon knows that "b" is drained
 
-  Scenario: A drain that is taken back lets its targets own keys again
+  Scenario: After a drain is ended its targets own keys again
     Given a fleet of 6 targets in failure domains "a", "b" and "c" that serves
     When "b" is drained
     And 4 s go by
-    And the drain of "b" is taken back
+    And the drain of "b" is ended
     Then each target holds keys after 4 s
     And every key is served after 1 s more
 
-  Scenario: Two failure domains are drained while the first one's keys move
+  Scenario: A second failure domain is drained while the keys of the first one move
     Given a fleet of 6 targets in failure domains "a", "b" and "c" that serves
     When "b" is drained
     And 0.3 s go by
@@ -29,21 +29,21 @@
     And no target in "c" holds a key or gets a request after 0.2 s
     And every key is served after 1 s more
 
-  Scenario: An owner elsewhere is lost while a failure domain is drained
+  Scenario: An owner in another failure domain is lost during a drain
     Given a fleet of 6 targets in failure domains "a", "b" and "c" that serves
     When "b" is drained
     And instance 2 is lost with its target
     Then no target in "b" holds a key or gets a request after 3 s
     And every key is served after 2 s more
 
-  Scenario: All failure domains are drained, and nothing is sent anywhere
+  Scenario: All failure domains are drained, and no target gets a request
     Given a fleet of 6 targets in failure domains "a", "b" and "c" that serves
     When "a" is drained
     And "b" is drained
     And "c" is drained
     Then no target anywhere gets a request after 3.2 s
     And each daemon knows that the service has no failure domain left
-    When the drain of "c" is taken back
+    When the drain of "c" is ended
     Then every key is served after 4 s more
 
   Scenario: The planner is in the failure domain that is drained
@@ -52,16 +52,16 @@
     Then no target there holds a key or gets a request after 3 s
     And every key is served after 0.2 s more
 
-  Scenario: A target that starts anew in a drained failure domain gets nothing
+  Scenario: A target that is restarted in a drained failure domain gets neither keys nor requests
     Given a fleet of 6 targets in failure domains "a", "b" and "c" that serves
     When "b" is drained
     And 2 s go by
-    And the targets in "b" start anew
+    And the targets in "b" are restarted
     Then no target in "b" holds a key or gets a request after 2 s
 
   # -- the store ----------------------------------------------------------------------------
 
-  Scenario: A drain stays in force while the store is away
+  Scenario: A drain stays in force while the store is unavailable
     Given a fleet of 6 targets in failure domains "a", "b" and "c" that serves
     When "b" is drained
     And 1 s go by
@@ -69,18 +69,18 @@
     Then no target in "b" holds a key or gets a request after 0 s
     And every key is served after 0.2 s more
 
-  Scenario: A daemon that the store turns away hears of a drain, and of its end, from a watcher
+  Scenario: A daemon that is cut off from the store learns of a drain, and of its end, from a watcher
     Given a fleet of 9 targets in failure domains "a", "b" and "c" that serves
     When daemons 1 and 5 are cut off from the store
     And 3 s go by
     And "b" is drained
     And 3 s go by
     Then each daemon knows that "b" is drained
-    When the drain of "b" is taken back
+    When the drain of "b" is ended
     And 3 s go by
     Then each daemon knows that nothing is drained
 
-  Scenario: A watcher that the store turns away hears of a drain from another watcher
+  Scenario: A watcher that is cut off from the store learns of a drain from another watcher
     Given a fleet of 9 targets in failure domains "a", "b" and "c" that serves
     When one watcher is cut off from the store
     And 3 s go by
@@ -88,13 +88,13 @@
     And 3 s go by
     Then each daemon knows that "b" is drained
 
-  Scenario: A drain that was written while the history was forgotten is read
+  Scenario: A drain that is written just before the store discards its history is read
     Given a fleet of 6 targets in failure domains "a", "b" and "c" that serves
-    When "b" is drained and the store forgets its history at once
+    When "b" is drained and the store discards its history at once
     And 2 s go by
     Then each daemon knows that "b" is drained
 
-  Scenario Outline: An entry that drains nothing changes nothing: <name> <entry>
+  Scenario Outline: An invalid entry of a drain changes nothing: <name> <entry>
     Given a fleet of 6 targets in failure domains "a", "b" and "c" that serves
     When "b" is drained
     And the operator writes <entry> as the drain of "<name>"
@@ -110,15 +110,15 @@
       | c       | {     |
       | b       | []    |
 
-  # -- what is newer wins -----------------------------------------------------------------------
+  # -- order of revisions -----------------------------------------------------------------------
 
-  Scenario: What arrives late never undoes what is newer
-    Given a daemon that knows nothing of drains
+  Scenario: An update that arrives late never reverts a newer one
+    Given a daemon that knows of no drain
     When it reads at revision 10 that "a" is drained
-    And it is told of revision 8 that nothing is drained
-    Then "a" is drained since ever
-    When it hears at revision 12 and 20 s that "b" is drained
-    And it hears at revision 11 and 21 s that "b" is not drained
+    And another daemon reports at revision 8 that nothing is drained
+    Then "a" has been drained since before the first update
+    When it is notified at revision 12 and 20 s that "b" is drained
+    And it is notified at revision 11 and 21 s that "b" is not drained
     Then "b" is drained since 20 s
-    When it is told of revision 14 that nothing is drained
+    When another daemon reports at revision 14 that nothing is drained
     Then nothing is drained
--- a/features/platform.feature
+++ b/features/platform.feature
@@ -1,12 +1,12 @@
-Feature: The users' platform's names, formats and calls
+Feature: Names, formats and calls of the users' platform
 
   Scenario: A configuration document becomes the product's routing table
     When the example document is read
-    Then version 7 has a route for "/lepu270/2f" at "jepu9.example" with parts of 90 and 10
-    And the longest of two prefixes wins
-    And a path of no route has none
+    Then version 7 has a route for "/lepu270/2f" at "jepu9.example" with weights 90 and 10
+    And the longer of two matching prefixes is used
+    And a path or host without a route has no match
 
-  Scenario Outline: A document that cannot be acted on is refused by field and value: <fault>
+  Scenario Outline: An invalid document is refused with its field and value: <fault>
     When the example document is read with <fault>
     Then it is refused with a message that names "<field>" and "<value>"
 
@@ -19,15 +19,15 @@
       | no weight at all                | weightedServices | weight |
       | a time-out below one            | timeoutMs  | 0       |
 
-  Scenario: A heartbeat is read into keys, state and order
-    When the heartbeat of a target that holds and has let go keys is read
-    Then it holds 0..4095 under fence 7 and let 4096..8191 go with a token
+  Scenario: A heartbeat is read into keys, state and sequence number
+    When the heartbeat of a target that holds keys and has released others is read
+    Then it holds 0..4095 under fence 7 and has released 4096..8191 with a token
 
-  Scenario: The answer to a heartbeat carries rows and the hold, or says nothing of keys
-    Then an answer that grants 0..4095 for 4 s is written as the platform's targets expect
-    And an answer that renews nothing has no rows
+  Scenario: The response to a heartbeat has rows and the hold, or no keys
+    Then a response that grants 0..4095 for 4 s is encoded as the platform's targets expect
+    And a response that renews nothing has no rows
 
-  Scenario Outline: A heartbeat that makes no sense is refused: <body>
+  Scenario Outline: A malformed heartbeat is refused: <body>
     When a heartbeat is read whose body is <body>
     Then it is refused
 
@@ -37,13 +37,13 @@
       | {"address":"a"}         |
       | {"status":{"sequence":1}} |
 
-  Scenario: Headers that a caller may not set are replaced, all others pass
+  Scenario: Headers that a caller may not set are replaced, all others are forwarded
     Given a request whose caller sets its own service, target and deadline
-    Then the target gets each of them once, as pearward sets them
-    And the request's id and its other headers pass unchanged
+    Then the target gets each of these headers once, with pearward's value
+    And the request's id and its other headers are forwarded unchanged
 
-  Scenario Outline: What a target's answer says of itself: <headers>
-    When an answer has the headers "<headers>"
+  Scenario Outline: Facts read from the headers of a target's response: <headers>
+    When a response has the headers "<headers>"
     Then it is read as <meaning>
 
     Examples:
@@ -58,9 +58,9 @@
   Scenario: The settings template gives settings that the daemon accepts
     When the template is filled as the platform fills it
     Then the settings name the instance, the store and every address
-    And every gap of the template is a field that the platform has
+    And every placeholder of the template is a field of the platform
 
-  Scenario Outline: Settings with <fault> are refused by field and value
+  Scenario Outline: Settings are refused with their field and value if <fault>
     When the template is filled and <fault>
     Then the settings are refused with a message that names "<field>" and "<value>"
 
@@ -72,7 +72,7 @@
       | the ratio is a text         | retries.ratio    | much    |
       | there is an unknown field   | surprise         | 1       |
 
-  Scenario: The deploy file names what is in the repository
-    Then every file that the deploy file names is there
+  Scenario: The deploy file names files that exist in the repository
+    Then every file that the deploy file names exists
     And the build needs only pinned libraries with hashes
-    And no module of the platform's folder hides one of the standard library
+    And no module in the platform folder shadows one of the standard library
--- a/features/steps/drain_steps.py
+++ b/features/steps/drain_steps.py
@@ -1,4 +1,4 @@
-"""Steps of failure domains that operators drain, in virtual time."""
+"""Steps for the drain of failure domains, in virtual time."""
 
 import math
 import sys
@@ -43,21 +43,21 @@
     context.world.drain(domain, entry.encode())
 
 
-@when('the drain of "{domain}" is taken back')
+@when('the drain of "{domain}" is ended')
 def drain_ended(context: Any, domain: str) -> None:
     context.world.end_drain(domain)
 
 
 @when("the planner's failure domain is drained")
-def planners_domain(context: Any) -> None:
+def planners_domain_drained(context: Any) -> None:
     world = context.world
     planner = next(node for node in world.nodes if node.daemon.core.planner.is_active_planner)
     context.domain = world.domain_of(planner)
     world.drain(context.domain)
 
 
-@when('"{domain}" is drained and the store forgets its history at once')
-def drained_and_forgotten(context: Any, domain: str) -> None:
+@when('"{domain}" is drained and the store discards its history at once')
+def drained_and_history_discarded(context: Any, domain: str) -> None:
     store = context.world.store
     context.world.drain(domain)
     store.forgotten = store.revision
@@ -86,8 +86,8 @@
     next(node for node in nodes if node.daemon.core.feed.is_watcher).cut_from_store = True
 
 
-@when('the targets in "{domain}" start anew')
-def targets_anew(context: Any, domain: str) -> None:
+@when('the targets in "{domain}" are restarted')
+def targets_restarted(context: Any, domain: str) -> None:
     world = context.world
     for node in _in_domain(world, domain):
         world.end_target(node)
@@ -99,7 +99,7 @@
 
 
 def _head(node: Node, key: bytes) -> RequestHead:
-    """Return a request for the target of an instance, whatever it is asked for."""
+    """Return a request for the target of an instance, without a key or with any key."""
     target = node.target.id if node.target is not None else ""
     return RequestHead(
         service=SERVICE, key=key, request_id=b"1", method=b"GET", path=b"/", headers=b"",
@@ -110,8 +110,8 @@
     )  # fmt: skip
 
 
-def _assert_nothing_there(nodes: list[Node]) -> None:
-    """Assert that targets hold no keys, and that their daemons would send them nothing."""
+def _assert_unused(nodes: list[Node]) -> None:
+    """Assert that targets hold no keys and that their daemons reject all requests for them."""
     for node in nodes:
         if node.daemon is None or node.target is None:
             continue
@@ -125,16 +125,16 @@
 
 
 @then('no target in "{domain}" holds a key or gets a request after {seconds:g} s')
-def nothing_there(context: Any, domain: str, seconds: float) -> None:
+def domain_unused(context: Any, domain: str, seconds: float) -> None:
     context.world.run(seconds)
-    _assert_nothing_there(_in_domain(context.world, domain))
+    _assert_unused(_in_domain(context.world, domain))
     for node in context.world.nodes:
         if node.daemon is not None:
             _assert_not_chosen(context.world, node, domain)
 
 
 def _assert_not_chosen(world: World, node: Node, domain: str) -> None:
-    """Assert that a daemon sends nothing to a failure domain, neither with a key nor without."""
+    """Assert that a daemon chooses no target in a failure domain, with a key or without."""
     assert node.daemon is not None
     directory = node.daemon.core.directory
     group = directory._group(SERVICE)
@@ -143,12 +143,12 @@
 
 
 @then("no target there holds a key or gets a request after {seconds:g} s")
-def nothing_at_planner(context: Any, seconds: float) -> None:
-    nothing_there(context, context.domain, seconds)
+def planners_domain_unused(context: Any, seconds: float) -> None:
+    domain_unused(context, context.domain, seconds)
 
 
 @then("no target anywhere gets a request after {seconds:g} s")
-def nothing_anywhere(context: Any, seconds: float) -> None:
+def all_targets_unused(context: Any, seconds: float) -> None:
     context.world.run(seconds)
     for node in context.world.nodes:
         for key in (b"", *(b"%d" % key for key in KEYS)):
@@ -184,7 +184,7 @@
 
 
 @then("each daemon knows that the service has no failure domain left")
-def wholly_drained(context: Any) -> None:
+def no_domain_left(context: Any) -> None:
     nodes = context.world.nodes
     assert all(node.daemon.core.directory.is_wholly_drained(SERVICE) for node in nodes)
 
@@ -201,10 +201,10 @@
     assert all(count == 1 for count in new), new
 
 
-# -- what one daemon knows ----------------------------------------------------------------------
+# -- state of one daemon -------------------------------------------------------------------------
 
 
-@given("a daemon that knows nothing of drains")
+@given("a daemon that knows of no drain")
 def drain_view(context: Any) -> None:
     context.view = DrainView()
 
@@ -214,23 +214,23 @@
     context.view.read([domain], revision, 5.0)
 
 
-@when("it is told of revision {revision:d} that nothing is drained")
+@when("another daemon reports at revision {revision:d} that nothing is drained")
 def view_told(context: Any, revision: int) -> None:
     context.view.merge(DomainDrains(revision), 30.0)
 
 
-@when('it hears at revision {revision:d} and {now:g} s that "{domain}" is drained')
+@when('it is notified at revision {revision:d} and {now:g} s that "{domain}" is drained')
 def view_hears(context: Any, revision: int, now: float, domain: str) -> None:
     context.view.changed(domain, revision, now, drained=True)
 
 
-@when('it hears at revision {revision:d} and {now:g} s that "{domain}" is not drained')
+@when('it is notified at revision {revision:d} and {now:g} s that "{domain}" is not drained')
 def view_hears_end(context: Any, revision: int, now: float, domain: str) -> None:
     context.view.changed(domain, revision, now, drained=False)
 
 
-@then('"{domain}" is drained since ever')
-def since_ever(context: Any, domain: str) -> None:
+@then('"{domain}" has been drained since before the first update')
+def since_before_first_update(context: Any, domain: str) -> None:
     assert context.view.since[domain] == -math.inf, context.view.since
 
 
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the adapter's formats; none needs the kit."""
+"""Steps for the formats of the platform adapter; they run without the platform."""
 
 import copy
 import re
@@ -74,7 +74,7 @@
 
 
 @when("the example document is read with {fault}")
-def read_broken(context: Any, fault: str) -> None:
+def read_invalid_document(context: Any, fault: str) -> None:
     data = copy.deepcopy(DOCUMENT)
     route = data["routes"]["one"]
     changes = {
@@ -93,7 +93,7 @@
         context.error = str(error)
 
 
-@then('version 7 has a route for "{path}" at "{host}" with parts of {one:d} and {other:d}')
+@then('version 7 has a route for "{path}" at "{host}" with weights {one:d} and {other:d}')
 def has_route(context: Any, path: str, host: str, one: int, other: int) -> None:
     assert context.routing.version == 7
     route = context.routing.match(host, path)
@@ -102,12 +102,12 @@
     assert context.routing.limits.body_bytes == 1000
 
 
-@then("the longest of two prefixes wins")
-def longest(context: Any) -> None:
+@then("the longer of two matching prefixes is used")
+def longest_prefix(context: Any) -> None:
     assert context.routing.match("jepu9.example", "/lepu270/deeper/x").name == "two"
 
 
-@then("a path of no route has none")
+@then("a path or host without a route has no match")
 def no_route(context: Any) -> None:
     assert context.routing.match("jepu9.example", "/other/") is None
     assert context.routing.match("another.example", "/lepu270/") is None
@@ -121,7 +121,7 @@
 
 # -- heartbeats --------------------------------------------------------------------------------
 
-BEAT = {
+HEARTBEAT = {
     "address": "10.128.0.9:8080",
     "information": {"service": "huvo11a", "version": "v1", "zone": "a", "capacitySlots": 12},
     "status": {"state": "draining", "sequence": 4, "coldRemainingMs": 1500},
@@ -130,13 +130,13 @@
 }
 
 
-@when("the heartbeat of a target that holds and has let go keys is read")
-def read_good_beat(context: Any) -> None:
-    context.target_heartbeat = parse_heartbeat("i-1", orjson.dumps(BEAT))
+@when("the heartbeat of a target that holds keys and has released others is read")
+def read_valid_heartbeat(context: Any) -> None:
+    context.target_heartbeat = parse_heartbeat("i-1", orjson.dumps(HEARTBEAT))
 
 
-@then("it holds 0..4095 under fence 7 and let 4096..8191 go with a token")
-def beat_rows(context: Any) -> None:
+@then("it holds 0..4095 under fence 7 and has released 4096..8191 with a token")
+def heartbeat_rows(context: Any) -> None:
     target_heartbeat = context.target_heartbeat
     assert target_heartbeat.held == (HeldRow(0, 4095, 7),)
     assert target_heartbeat.released == (ReleasedRow(4096, 8191, "5c0e7a21d94b36f8"),)
@@ -147,22 +147,22 @@
     )
 
 
-@then("an answer that grants 0..4095 for 4 s is written as the platform's targets expect")
-def written_answer(context: Any) -> None:
-    answer = HeartbeatResponse((GrantedRow(0, 4095, 7, ""),), 4.0)
-    assert orjson.loads(encode_heartbeat_response(answer)) == {
+@then("a response that grants 0..4095 for 4 s is encoded as the platform's targets expect")
+def encoded_response(context: Any) -> None:
+    response = HeartbeatResponse((GrantedRow(0, 4095, 7, ""),), 4.0)
+    assert orjson.loads(encode_heartbeat_response(response)) == {
         "holds": [[0, 4095, 7, ""]],
         "holdMs": 4000,
     }
 
 
-@then("an answer that renews nothing has no rows")
+@then("a response that renews nothing has no rows")
 def no_rows(context: Any) -> None:
     assert "holds" not in orjson.loads(encode_heartbeat_response(HeartbeatResponse()))
 
 
 @when("a heartbeat is read whose body is {body}")
-def read_bad_beat(context: Any, body: str) -> None:
+def read_invalid_heartbeat(context: Any, body: str) -> None:
     try:
         parse_heartbeat("i-1", body.encode())
         context.error = ""
@@ -171,7 +171,7 @@
 
 
 @then("it is refused")
-def beat_refused(context: Any) -> None:
+def refused(context: Any) -> None:
     assert context.error
 
 
@@ -179,7 +179,7 @@
 
 
 @given("a request whose caller sets its own service, target and deadline")
-def forged(context: Any) -> None:
+def forged_headers(context: Any) -> None:
     raw = [
         (b"Host", [b"jepu9.example:80"]),
         (b"Request-Id", [b"9c41"]),
@@ -197,22 +197,22 @@
     context.lines = dialect.target_headers(forwarded, "i-1", "own", 900).split(b"\r\n")[:-1]
 
 
-@then("the target gets each of them once, as pearward sets them")
+@then("the target gets each of these headers once, with pearward's value")
 def replaced(context: Any) -> None:
     for line in (b"Deadline-Ms: 900", b"Expected-Instance: i-1", b"Caller-Service: own"):
         name = line.partition(b":")[0]
         assert [x for x in context.lines if x.startswith(name)] == [line], context.lines
 
 
-@then("the request's id and its other headers pass unchanged")
-def passed(context: Any) -> None:
+@then("the request's id and its other headers are forwarded unchanged")
+def forwarded_unchanged(context: Any) -> None:
     for line in (b"Request-Id: 9c41", b"Shard-Key: 77", b"X-Other: 1", b"X-Other: 2"):
         assert line in context.lines
     assert not [line for line in context.lines if line.startswith(b"Connection")]
 
 
-@when('an answer has the headers "{headers}"')
-def answer_headers(context: Any, headers: str) -> None:
+@when('a response has the headers "{headers}"')
+def response_headers(context: Any, headers: str) -> None:
     block = "".join(f"{line.strip()}\r\n" for line in headers.split(";")).encode()
     context.facts = PlatformDialect().response_facts(block)
 
@@ -247,7 +247,7 @@
 
 
 def _filled() -> str:
-    """Fill the template as the platform does: a value, or a value as JSON."""
+    """Fill the template as the platform does, with plain values or with values as JSON."""
     template = (ROOT / "deploy/settings.yaml").read_text(encoding="utf-8")
 
     def section(match: re.Match[str]) -> str:
@@ -260,12 +260,12 @@
 
     template = re.sub(r"\{\{#([^}]+)\}\}(.*?)\{\{/\1\}\}", section, template, flags=re.DOTALL)
 
-    def gap(match: re.Match[str]) -> str:
+    def placeholder(match: re.Match[str]) -> str:
         path, _, form = match[1].partition("|")
         value = _lookup(path)
         return orjson.dumps(value).decode() if form == "json" else str(value)
 
-    return re.sub(r"\{\{([^}]+)\}\}", gap, template)
+    return re.sub(r"\{\{([^}]+)\}\}", placeholder, template)
 
 
 @when("the template is filled as the platform fills it")
@@ -274,7 +274,7 @@
 
 
 @when("the template is filled and {fault}")
-def fill_broken(context: Any, fault: str) -> None:
+def fill_invalid(context: Any, fault: str) -> None:
     data = yaml.safe_load(_filled())
     changes = {
         "the callers' address is odd": lambda: data["listen"].update(callers="nowhere"),
@@ -292,7 +292,7 @@
 
 
 @then("the settings name the instance, the store and every address")
-def settings_whole(context: Any) -> None:
+def complete_settings(context: Any) -> None:
     settings = context.settings
     assert settings.instance == "sidecar-a-1"
     assert settings.store.address == "10.200.1.7:8627"
@@ -304,12 +304,12 @@
     assert (settings.domain_drain_s, settings.cold_overage) == (4.0, 1.0)
 
 
-@then("every gap of the template is a field that the platform has")
-def gaps(context: Any) -> None:
+@then("every placeholder of the template is a field of the platform")
+def placeholders(context: Any) -> None:
     assert "{{" not in _filled()
 
 
-@then("every file that the deploy file names is there")
+@then("every file that the deploy file names exists")
 def deploy_files(context: Any) -> None:
     deploy = tomllib.loads((ROOT / "deploy/system.toml").read_text(encoding="utf-8"))
     context.build = deploy["build"]
@@ -322,7 +322,7 @@
 
 
 @then("the build needs only pinned libraries with hashes")
-def pinned(context: Any) -> None:
+def pinned_packages(context: Any) -> None:
     pins = (ROOT / "requirements/run.txt").read_text(encoding="utf-8")
     entries = [line for line in pins.splitlines() if line and line[0] not in " #"]
     assert entries
@@ -330,8 +330,8 @@
     assert pins.count("--hash=sha256:") >= len(entries)
 
 
-@then("no module of the platform's folder hides one of the standard library")
-def hides_nothing(context: Any) -> None:
+@then("no module in the platform folder shadows one of the standard library")
+def no_module_shadowed(context: Any) -> None:
     folder = ROOT / "platform"
     assert not (folder / "__init__.py").exists()
     assert not list(folder.glob("*.py"))
--- a/features/steps/table_steps.py
+++ b/features/steps/table_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the operators' command."""
+"""Steps for the operators' command ``pearward``."""
 
 import json
 import socket
@@ -77,7 +77,7 @@
 
 
 @then('every daemon acts on the newest rows of "{service}"')
-def all_act(context: Any, service: str) -> None:
+def all_up_to_date(context: Any, service: str) -> None:
     version = _table(context, service).version
 
     def behind() -> list[str]:
@@ -92,15 +92,15 @@
 
 
 @when('two operators set "{first}" and "{second}" on "{service}" at once')
-def race(context: Any, first: str, second: str, service: str) -> None:
+def concurrent_edits(context: Any, first: str, second: str, service: str) -> None:
     context.notes["version"] = _table(context, service).version
     with ThreadPoolExecutor(2) as pool:
         jobs = [pool.submit(run_pearward, context, "set", service, a) for a in (first, second)]
         context.notes["results"] = [job.result() for job in jobs]
 
 
-@then("both succeed and both values stand")
-def both_stand(context: Any) -> None:
+@then("both succeed and both values are in the table")
+def both_in_table(context: Any) -> None:
     assert all(r.returncode == 0 for r in context.notes["results"]), context.notes["results"]
     service = _table(context, "paypost").service
     assert (service.limit, service.churn_price) == (11, 3.5)
@@ -108,18 +108,18 @@
 
 @when('two operators set "{first}" and "{second}" on "{service}" in a forced race')
 def forced_race(context: Any, first: str, second: str, service: str) -> None:
-    # Slow answers make both read before either has written.
+    # With slow responses both read before either has written.
     context.cluster.platform_faults(delay_s=0.7)
-    race(context, first, second, service)
+    concurrent_edits(context, first, second, service)
     context.cluster.platform_faults()
 
 
 @then("one has exit code 4 and its message names both values")
-def loser_sees(context: Any) -> None:
+def failed_one_names_both(context: Any) -> None:
     codes = sorted(r.returncode for r in context.notes["results"])
     assert codes == [0, 4], context.notes["results"]
-    loser = next(r for r in context.notes["results"] if r.returncode == 4)
-    assert "21" in loser.stderr and "22" in loser.stderr, loser.stderr
+    failed = next(r for r in context.notes["results"] if r.returncode == 4)
+    assert "21" in failed.stderr and "22" in failed.stderr, failed.stderr
 
 
 @then('the table of "{service}" has limit {limit:d}')
@@ -127,8 +127,8 @@
     assert _table(context, service).service.limit == limit
 
 
-@then("its version grew by one")
-def grew_by_one(context: Any) -> None:
+@then("its history has this change once, and each version once")
+def in_history_once(context: Any) -> None:
     history = _table(context, "paypost").history
     assert [c.version for c in history] == sorted({c.version for c in history})
     assert sum("-> 31" in c.summary for c in history) == 1
@@ -173,7 +173,7 @@
         with socket.create_connection((node.ip, PEER_PORT), timeout=5) as sock:
             sock.sendall(b"".join(mux.take_output()))
             sock.settimeout(5)
-            # The greeting and the answer to the ping: the push has been looked at by then.
+            # Read the greeting and the ping's reply, which follows the processing of the push.
             received = b""
             while len(received) < 12 or b"\x08\x01" not in received:
                 received += sock.recv(4096)
