--- a/features/new_services.feature
+++ b/features/new_services.feature
@@ -1,49 +1,48 @@
 @cluster.patient.pooled
-Feature: A service that a daemon has not heard of yet is no unknown service
+Feature: A service that a daemon does not know yet is not reported as unknown
 
-  Daemons that had just said "ready" answered 404 "unknown-service", which is final, for services
-  that were there: 11, 16, 0 and 12 of some 5,500 requests in four plays of `make run`, all in the
-  first 0.6 s, each by a daemon that had the services' cell records and not their rows. Records
-  are announced when they are written; rows had been announced before the daemons knew any peer,
-  and came with a round of digests, which takes a second. Readiness asked for neither. The log
-  shows it: "pearward:failed" with "unknown-service", and the rows' "versions" missing in the
-  daemon's status.
+  A daemon that reported "ready" could answer 404 "unknown-service", which is final, for a service
+  that existed. In the first 0.6 s this happened at daemons that had the services' cell records but
+  not their rows: records are announced when they are written, while rows were announced before
+  the daemons knew any peer, and so arrived only with a round of digests, which takes a second.
+  Readiness waited for neither. The symptoms are "pearward:failed" with "unknown-service" in the
+  log, and "versions" without the rows in the daemon's status.
 
   Scenario: A daemon that has just started never says that a service does not exist
     When a daemon of "roster-app" is killed and started again
-    And it is asked for "paypost" from its first moment on, for 3 seconds
-    Then each answer is served, or not run with a time to come back
-    And the last answer is served
+    And it is asked for "paypost" from its start on, for 3 seconds
+    Then each request is served, or not run with a retry delay
+    And the last request is served
 
-  Scenario: A daemon that says it is ready knows every service
+  Scenario: A daemon that reports ready knows every service
     When a daemon of "roster-app" is killed and started again
-    And it is asked whether it is ready until it is
+    And its readiness is polled until it is ready
     Then its status has the rows of every service
 
-  Scenario: A new service is known wherever it is asked for
+  Scenario: A new service is known at every daemon
     When the operator declares a new service "newcomer"
     And each daemon is asked for "newcomer" at once
-    Then no answer says that it does not exist
+    Then no response says that the service does not exist
 
-  Scenario: While the store is away nobody can tell that a service does not exist
+  Scenario: While the store is unavailable no daemon says that a service does not exist
     When the platform is down
     And "GET" for key "crew-1" of "nobody-knows" is sent to the first daemon
-    Then that answer is not run, with a time to come back
+    Then that request is not run, with a retry delay
     When the platform is up again
     And "GET" for key "crew-1" of "nobody-knows" is sent to the first daemon
     Then the answer is 404 "not-run" because of "unknown-service"
 
-  Scenario: A body that comes while a service is looked up is kept
+  Scenario: A request body that arrives while the service is looked up is kept
     When the operator declares a new service "late-comer"
     And 300000 bytes are posted to "late-comer" through each daemon
-    Then no answer says that it does not exist
+    Then no response says that the service does not exist
 
-  Scenario: Names that are made up reach the store seldom
+  Scenario: Requests for services that do not exist cause few reads of the store
     When the first daemon is asked 200 times for services that do not exist
     Then the store was read at most 60 times more
-    And no such answer was served
+    And none of these requests was served
 
-  Scenario: A lookup that goes wrong by a fault of the daemon keeps nobody waiting
-    Given a daemon that fails as it takes rows that were looked up
-    When a service is looked up, and once more
-    Then both lookups have ended, and neither says that it does not exist
+  Scenario: A lookup that fails because of an error in the daemon ends
+    Given a daemon that raises an error when it receives the rows of a looked-up service
+    When a service is looked up twice
+    Then both lookups have ended, and neither says that the service does not exist
--- a/features/settings.feature
+++ b/features/settings.feature
@@ -1,4 +1,4 @@
-Feature: Settings are checked as a whole before anything starts
+Feature: All settings are checked before the daemon starts
 
   Scenario Outline: One line names the file, the key path and the value
     Given valid settings with "<path>" set to "<value>"
@@ -19,17 +19,17 @@
       | log.requests              | loud          | log.requests              |
       | limits.queue              | 0             | limits.queue              |
 
-  Scenario: Valid settings are valid
+  Scenario: Valid settings are accepted
     Given valid settings with "limits.queue" set to "10"
     When pearwardd checks them
     Then it ends with exit code 0
 
-  Scenario: A file that is no YAML
-    Given settings that read "listen: [1, 2"
+  Scenario: A file that is not valid YAML
+    Given a settings file with the text "listen: [1, 2"
     When pearwardd checks them
     Then it ends with exit code 2 and one line that names the file, "YAML" and "line"
 
-  Scenario Outline: Settings of a daemon on a users' platform name a bad value: <field>
+  Scenario Outline: An invalid value in the settings of a daemon on a users' platform is named: <field>
     Given settings of a daemon on a users' platform with <field> set to <value>
     Then they are refused, naming <path> and the value
 
@@ -42,6 +42,6 @@
       | quarantine | {"refused_after": -1}   | quarantine.refused_after |
       | quarantine | {"refused_after": "no"} | quarantine.refused_after |
 
-  Scenario: Settings that do not say how keys are given keep to heartbeats
+  Scenario: Without a setting for grants, keys are granted by heartbeat
     Given settings of a daemon on a users' platform with grants set to null
-    Then they are taken, with keys given by heartbeat
+    Then they are accepted, and keys are granted by heartbeat
--- a/features/soak.feature
+++ b/features/soak.feature
@@ -1,27 +1,27 @@
-Feature: A randomised soak of real processes, and what it checks
+Feature: A randomised soak of real processes, and its checks
 
-  Scenario: A short soak keeps every promise
-    When seed 11 is played for 12 s
-    Then no promise is broken and requests were served
+  Scenario: A short soak violates no guarantee
+    When a soak with seed 11 runs for 12 s
+    Then no guarantee is violated and requests were served
 
-  Scenario: A short soak with targets that take their keys by calls
-    When seed 12 is played for 12 s with keys by calls
-    Then no promise is broken and requests were served
+  Scenario: A short soak with targets that are granted keys by calls
+    When a soak with seed 12 runs for 12 s with grants by calls
+    Then no guarantee is violated and requests were served
 
   Scenario: A short soak with requests that crash their targets
-    When seed 13 is played for 14 s with requests that crash their targets
-    Then no promise is broken and requests were served
+    When a soak with seed 13 runs for 14 s with requests that crash their targets
+    Then no guarantee is violated and requests were served
 
-  Scenario: A short soak with a store that comes back from older copies
-    When seed 14 is played for 14 s with a store that goes back
-    Then no promise is broken and requests were served
+  Scenario: A short soak with a store that is restored from older copies
+    When a soak with seed 14 runs for 14 s with a store restored from older copies
+    Then no guarantee is violated and requests were served
 
-  Scenario: A seed always plays the same faults
-    Then seed 5 plans the same faults twice, and seed 6 others
+  Scenario: A seed always plans the same faults
+    Then seed 5 plans the same faults twice, and seed 6 plans others
 
-  Scenario Outline: A broken promise is found: <fault>
-    Given a soak of two requests without a broken promise
-    When "<fault>" is found in its records
+  Scenario Outline: A violated guarantee is found: <fault>
+    Given the records of a soak with two requests and no violation
+    When the records are changed to show "<fault>"
     Then exactly one broken promise is told, which names "<name>"
 
     Examples:
@@ -37,16 +37,16 @@
       | an answer that broke off                 | r1      |
       | a request that goes on crashing targets  | /sheets/safe/bad |
 
-  Scenario: A daemon that was killed may leave a request without an answer
-    Given a soak of two requests without a broken promise
-    When "a request that ran and was not answered" is found in its records
-    And the asked daemon was killed meanwhile
+  Scenario: A daemon that was killed may leave a request without a response
+    Given the records of a soak with two requests and no violation
+    When the records are changed to show "a request that ran and was not answered"
+    And the daemon that received the request was killed meanwhile
     Then no broken promise is told
 
-  Scenario Outline: An answer may break off where something on its way was harmed: <began> s
-    Given a soak of two requests without a broken promise
-    When "an answer that broke off" is found in its records
-    And a link was harmed from <began> s to <ended> s
+  Scenario Outline: A response may be truncated by a fault on its path: <began> s
+    Given the records of a soak with two requests and no violation
+    When the records are changed to show "an answer that broke off"
+    And a fault affected a link from <began> s to <ended> s
     Then <told>
 
     Examples:
@@ -55,9 +55,9 @@
       | 1     | 4     | exactly one broken promise is told, which names "r1" |
 
   @long
-  Scenario Outline: A seed that once failed: <seed>, <cause>
-    When seed <seed> is played for 20 s
-    Then no promise is broken and requests were served
+  Scenario Outline: Regression: seed <seed>, <cause>
+    When a soak with seed <seed> runs for 20 s
+    Then no guarantee is violated and requests were served
 
     Examples:
       | seed | cause                                                                       |
--- a/features/steps/new_service_steps.py
+++ b/features/steps/new_service_steps.py
@@ -1,4 +1,4 @@
-"""Steps about services that a daemon has not heard of yet."""
+"""Steps for services that a daemon does not know yet."""
 
 import time
 from typing import Any
@@ -27,39 +27,43 @@
     context.notes["restarted"] = node
 
 
-@when('it is asked for "{service}" from its first moment on, for {seconds:d} seconds')
+@when('it is asked for "{service}" from its start on, for {seconds:d} seconds')
 def ask_from_start(context: Any, service: str, seconds: int) -> None:
     address = _restarted(context).caller
     until: float | None = None
     while until is None or time.monotonic() < until:
         try:
-            answer = context.caller.call(address, service, headers={"Pearward-Deadline-Ms": "2000"})
+            response = context.caller.call(
+                address, service, headers={"Pearward-Deadline-Ms": "2000"}
+            )
         except OSError:
-            # Nobody listens yet.
+            # The daemon does not listen yet.
             continue
-        context.answers.append(answer)
+        context.answers.append(response)
         until = until or time.monotonic() + seconds
 
 
-@then("each answer is served, or not run with a time to come back")
-def served_or_later(context: Any) -> None:
-    for answer in context.answers:
-        later = answer.status == 503 and answer.outcome == "not-run"
-        assert answer.status == 200 or (later and answer.headers.get("retry-after")), answer
+@then("each request is served, or not run with a retry delay")
+def served_or_retryable(context: Any) -> None:
+    for response in context.answers:
+        retryable = response.status == 503 and response.outcome == "not-run"
+        assert response.status == 200 or (retryable and response.headers.get("retry-after")), (
+            response
+        )
 
 
-@then("the last answer is served")
+@then("the last request is served")
 def last_served(context: Any) -> None:
     assert context.answers[-1].status == 200, context.answers[-1]
 
 
-@when("it is asked whether it is ready until it is")
-def until_ready(context: Any) -> None:
+@when("its readiness is polled until it is ready")
+def poll_readiness(context: Any) -> None:
     def status() -> Any:
         found = context.cluster.status(_restarted(context))
         return found if found is not None and found["ready"] == "ready" else None
 
-    context.notes["status"] = wait_until(status, "the daemon to say that it is ready")
+    context.notes["status"] = wait_until(status, "the daemon to be ready")
 
 
 @then("its status has the rows of every service")
@@ -93,22 +97,22 @@
     _ask_each(context, service, method="POST", body=b"q" * size)
 
 
-@then("no answer says that it does not exist")
+@then("no response says that the service does not exist")
 def none_unknown(context: Any) -> None:
     assert context.answers
-    for answer in context.answers:
-        assert answer.status != 404 and answer.reason not in UNEXPECTED_REASONS, answer
+    for response in context.answers:
+        assert response.status != 404 and response.reason not in UNEXPECTED_REASONS, response
 
 
-@then("that answer is not run, with a time to come back")
+@then("that request is not run, with a retry delay")
 def not_run_yet(context: Any) -> None:
-    answer = context.answers[-1]
-    assert (answer.status, answer.outcome) == (503, "not-run"), answer
-    assert int(answer.headers["retry-after"]) >= 1, answer
+    response = context.answers[-1]
+    assert (response.status, response.outcome) == (503, "not-run"), response
+    assert int(response.headers["retry-after"]) >= 1, response
 
 
 @when("the first daemon is asked {count:d} times for services that do not exist")
-def made_up(context: Any, count: int) -> None:
+def ask_for_unknown(context: Any, count: int) -> None:
     before = context.cluster.platform_counts()[STORE_READ]
     address = context.cluster.nodes[0].caller
     for number in range(count):
@@ -121,36 +125,36 @@
     assert context.notes["reads"] <= most, context.notes["reads"]
 
 
-@then("no such answer was served")
+@then("none of these requests was served")
 def none_served(context: Any) -> None:
-    for answer in context.answers:
-        assert answer.status in (404, 503) and answer.outcome == "not-run", answer
+    for response in context.answers:
+        assert response.status in (404, 503) and response.outcome == "not-run", response
 
 
 class _FaultyRows:
-    """Rows of services in a daemon that fails as it takes them."""
+    """Stand-in for the rows of services in a daemon, which raises an error for found rows."""
 
     def has_value(self, key: str) -> bool:
         return False
 
     def value_found(self, key: str, value: bytes) -> None:
-        raise RuntimeError("a fault of this daemon's own")
+        raise RuntimeError("simulated error in the daemon")
 
 
-@given("a daemon that fails as it takes rows that were looked up")
+@given("a daemon that raises an error when it receives the rows of a looked-up service")
 def faulty(context: Any) -> None:
     store = MemoryStore()
     store.put("table/premview", b"{}")
     context.finder = ServiceFinder(Clock(), store, _FaultyRows())
 
 
-@when("a service is looked up, and once more")
+@when("a service is looked up twice")
 def look_up_twice(context: Any) -> None:
     context.found = []
     for _ in range(2):
         context.finder.find("premview").addCallback(context.found.append)
 
 
-@then("both lookups have ended, and neither says that it does not exist")
+@then("both lookups have ended, and neither says that the service does not exist")
 def both_ended(context: Any) -> None:
     assert context.found == [LookupResult.UNDETERMINED, LookupResult.UNDETERMINED], context.found
--- a/features/steps/settings_steps.py
+++ b/features/steps/settings_steps.py
@@ -1,4 +1,4 @@
-"""Steps that check settings."""
+"""Steps for checks of the settings."""
 
 import subprocess
 import sys
@@ -36,7 +36,7 @@
     _write(context, yaml.safe_dump(data))
 
 
-@given('settings that read "{text}"')
+@given('a settings file with the text "{text}"')
 def raw_settings(context: Any, text: str) -> None:
     _write(context, text)
 
@@ -95,10 +95,10 @@
             (value,) = value
         assert path in str(error) and repr(value) in str(error), error
     else:
-        raise AssertionError("they were taken")
+        raise AssertionError("invalid settings were accepted")
 
 
-@then("they are taken, with keys given by heartbeat")
-def mesh_taken(context: Any) -> None:
+@then("they are accepted, and keys are granted by heartbeat")
+def mesh_accepted(context: Any) -> None:
     settings = MeshSettings.from_config(context.settings)
     assert settings.grant_mode is GrantMode.HEARTBEAT
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the soak and of its checks."""
+"""Steps for the soak and for its checks."""
 
 from dataclasses import replace
 from typing import Any
@@ -18,39 +18,39 @@
 REFUSED = 503
 
 
-@when("seed {seed:d} is played for {seconds:d} s")
+@when("a soak with seed {seed:d} runs for {seconds:d} s")
 def play_seed(context: Any, seed: int, seconds: int) -> None:
     context.broken, context.served = play(seed, seconds)
 
 
-@when("seed {seed:d} is played for {seconds:d} s with keys by calls")
+@when("a soak with seed {seed:d} runs for {seconds:d} s with grants by calls")
 def play_by_call(context: Any, seed: int, seconds: int) -> None:
     context.broken, context.served = play(seed, seconds, by_call=True)
 
 
-@when("seed {seed:d} is played for {seconds:d} s with requests that crash their targets")
+@when("a soak with seed {seed:d} runs for {seconds:d} s with requests that crash their targets")
 def play_crashes(context: Any, seed: int, seconds: int) -> None:
     context.broken, context.served = play(seed, seconds, crashes=True)
 
 
-@when("seed {seed:d} is played for {seconds:d} s with a store that goes back")
+@when("a soak with seed {seed:d} runs for {seconds:d} s with a store restored from older copies")
 def play_returns(context: Any, seed: int, seconds: int) -> None:
     context.broken, context.served = play(seed, seconds, returns=True)
 
 
-@then("no promise is broken and requests were served")
-def held(context: Any) -> None:
+@then("no guarantee is violated and requests were served")
+def no_guarantee_violated(context: Any) -> None:
     assert not context.broken, context.broken[:5]
     assert context.served
 
 
-@then("seed {one:d} plans the same faults twice, and seed {other:d} others")
+@then("seed {one:d} plans the same faults twice, and seed {other:d} plans others")
 def same_faults(context: Any, one: int, other: int) -> None:
     assert plan(one, 30.0, 6) == plan(one, 30.0, 6) != plan(other, 30.0, 6)
     assert plan(one, 30.0, 6)
 
 
-@given("a soak of two requests without a broken promise")
+@given("the records of a soak with two requests and no violation")
 def records(context: Any) -> None:
     context.answers = [
         ResponseRecord("r1", "n1", True, 200, True, True, 10.0, 10.2),
@@ -63,17 +63,17 @@
     context.leaves = [Leave("t1", 9.5)]
     context.kills = []
     context.disturbances = []
-    assert _broken(context) == []
+    assert _violations(context) == []
 
 
-def _broken(context: Any) -> list[str]:
+def _violations(context: Any) -> list[str]:
     return find_violations(
         context.answers, context.runs, context.leaves, context.kills, context.disturbances
     )
 
 
-@when('"{fault}" is found in its records')
-def fault_found(context: Any, fault: str) -> None:
+@when('the records are changed to show "{fault}"')
+def records_with_fault(context: Any, fault: str) -> None:
     answers, runs = context.answers, context.runs
     match fault:
         case "a success with another body":
@@ -95,28 +95,28 @@
         case "an answer that broke off":
             answers[0] = replace(answers[0], status=0, intact=False)
         case "a request that goes on crashing targets":
-            bad = Run("r3", "t3", "sheets", "/sheets/safe/bad?spoil=crash", "", 0, 10.0)
-            runs += [replace(bad, at=10.0 + second) for second in range(10)]
+            crashing_run = Run("r3", "t3", "sheets", "/sheets/safe/bad?spoil=crash", "", 0, 10.0)
+            runs += [replace(crashing_run, at=10.0 + second) for second in range(10)]
         case _:
             raise AssertionError(fault)
 
 
-@when("the asked daemon was killed meanwhile")
+@when("the daemon that received the request was killed meanwhile")
 def was_killed(context: Any) -> None:
     context.kills.append(DaemonKill("n1", 10.15))
 
 
-@when("a link was harmed from {began:g} s to {ended:g} s")
-def link_harmed(context: Any, began: float, ended: float) -> None:
+@when("a fault affected a link from {began:g} s to {ended:g} s")
+def link_affected(context: Any, began: float, ended: float) -> None:
     context.disturbances.append(Disturbance(began, ended))
 
 
 @then('exactly one broken promise is told, which names "{name}"')
-def one_broken(context: Any, name: str) -> None:
-    broken = _broken(context)
+def one_violation(context: Any, name: str) -> None:
+    broken = _violations(context)
     assert len(broken) == 1 and broken[0].startswith(name), broken
 
 
 @then("no broken promise is told")
-def none_broken(context: Any) -> None:
-    assert _broken(context) == []
+def no_violation(context: Any) -> None:
+    assert _violations(context) == []
