--- a/features/cell_record.feature
+++ b/features/cell_record.feature
@@ -1,26 +1,26 @@
 Feature: The next record of a cell
 
-  Scenario: A cell of which all members were taken for lost takes back those that report
-    Given a cell of 4 members that were all taken for lost
+  Scenario: A cell whose members were all declared lost readmits those that report
+    Given a cell of 4 members that were all declared lost
     When 3 of them report again and the next record is planned
-    Then those 3 are members again and own every shard between them
-    And every shard still waits for each earlier owner but the new one
+    Then those 3 are members again and together own every shard
+    And every shard still waits for each earlier owner except the new owner
     And the fourth owns nothing
 
-  Scenario: Nobody is taken back who has certainly ended
-    Given a cell of 4 members that were all taken for lost
-    When 3 of them report again though the first of them has certainly ended
+  Scenario: A member that is known to have ended is not readmitted
+    Given a cell of 4 members that were all declared lost
+    When 3 of them report again although the first of them is known to have ended
     Then only the other 2 are members again
 
-  Scenario: While somebody can own shards, a retired member does not return by itself
-    Given a cell of 4 members of which one was taken for lost
+  Scenario: While another member can own shards, a retired member is not readmitted when it reports
+    Given a cell of 4 members of which one was declared lost
     When that one reports again and the next record is planned
-    Then it stays retired as long as a shard names it
+    Then it stays retired while a shard names it
 
   Scenario Outline: The shards of a member that was replaced wait for its successor: <case>
-    Given a coordinator of a cell of 3 members that are waited for 8 s
-    When a greeting shows that the first has been replaced, and <seconds> s later <who> reported
-    Then the first one's shards are given to <whom>
+    Given a coordinator of a cell of 3 members that waits 8 s for a successor
+    When a greeting shows that the first member was replaced, and <seconds> s later <who> reported
+    Then the first member's shards are given to <whom>
 
     Examples:
       | case                      | seconds | who               | whom          |
@@ -28,7 +28,7 @@
       | it reports                | 1       | the successor has | the successor |
       | it does not come          | 9       | nobody has        | the others    |
 
-  Scenario: The shards of a member whose instance is gone for good wait for nobody
-    Given a coordinator of a cell of 3 members that are waited for 8 s
-    When an operator says that the first has ended
-    Then the first one's shards are given to the others
+  Scenario: The shards of a member that an operator reports as ended are reassigned without a wait
+    Given a coordinator of a cell of 3 members that waits 8 s for a successor
+    When an operator reports that the first member has ended
+    Then the first member's shards are given to the others
--- a/features/fuzz.feature
+++ b/features/fuzz.feature
@@ -2,8 +2,8 @@
 Feature: Stateful fuzzing against simple oracles
 
   Scenario Outline: <machine>
-    When the "<machine>" machine runs for its examples
-    Then its oracle found nothing
+    When the "<machine>" state machine runs its examples
+    Then its oracle found no violation
 
     Examples:
       | machine                        |
--- a/features/steps/cell_record_steps.py
+++ b/features/steps/cell_record_steps.py
@@ -1,4 +1,4 @@
-"""Steps of a cell's record, planned without any daemon."""
+"""Steps for the record of a cell, planned without a daemon."""
 
 from dataclasses import replace
 from typing import Any
@@ -34,7 +34,7 @@
     return planned
 
 
-def _formed(context: Any, count: int) -> None:
+def _form_cell(context: Any, count: int) -> None:
     context.names = _names(count)
     context.cell_table = _table(context.names)
     joiners = tuple(_joiner(name) for name in context.names)
@@ -49,17 +49,17 @@
     return {name: m.state for name, m in _members(record).items()}
 
 
-@given("a cell of {count:d} members that were all taken for lost")
+@given("a cell of {count:d} members that were all declared lost")
 def all_lost(context: Any, count: int) -> None:
-    _formed(context, count)
+    _form_cell(context, count)
     lost = frozenset(context.names)
     context.record = _planned(context.record, context.cell_table, lost=lost)
     assert set(_states(context.record).values()) == {MemberState.RETIRED}
 
 
-@given("a coordinator of a cell of {count:d} members that are waited for {seconds:g} s")
+@given("a coordinator of a cell of {count:d} members that waits {seconds:g} s for a successor")
 def coordinator(context: Any, count: int, seconds: float) -> None:
-    _formed(context, count)
+    _form_cell(context, count)
     row = replace(context.cell_table.service, wait_return_s=seconds)
     context.cell_table = replace(context.cell_table, service=row)
     context.coordinator = Coordinator(SERVICE, LeaseTiming(), 0.0)
@@ -68,12 +68,12 @@
 def _report_of_successor(context: Any, now: float) -> None:
     joiner = _joiner(context.names[0])
     peer = PeerId("successor", joiner.peer)
-    beat = Heartbeat(
+    heartbeat = Heartbeat(
         SERVICE, joiner.instance, joiner.server, joiner.failure_domain, joiner.caller,
         0, 0, 0, 1, False, True, 0, (),
     )  # fmt: skip
     context.coordinator.peer_seen(peer)
-    context.coordinator.on_heartbeat(peer, beat, context.record.version, now)
+    context.coordinator.on_heartbeat(peer, heartbeat, context.record.version, now)
 
 
 def _plan(context: Any, now: float) -> None:
@@ -81,7 +81,7 @@
     context.planned = planned or context.record
 
 
-@when("a greeting shows that the first has been replaced, and {seconds:g} s later {who} reported")
+@when("a greeting shows that the first member was replaced, and {seconds:g} s later {who} reported")
 def first_replaced(context: Any, seconds: float, who: str) -> None:
     context.coordinator.note_ended({context.names[0]})
     _plan(context, 0.1)
@@ -91,13 +91,13 @@
     _plan(context, 0.1 + seconds)
 
 
-@when("an operator says that the first has ended")
-def operator_says(context: Any) -> None:
+@when("an operator reports that the first member has ended")
+def operator_reports_end(context: Any) -> None:
     context.coordinator.force_release(context.names[0])
     _plan(context, 0.1)
 
 
-@then("the first one's shards are given to {whom}")
+@then("the first member's shards are given to {whom}")
 def given_to(context: Any, whom: str) -> None:
     first, *others = context.names
     owners = {context.planned.owner_of(shard).incarnation for shard in context.planned.shards}
@@ -105,9 +105,9 @@
     assert owners == expected[whom] | set(others), owners
 
 
-@given("a cell of {count:d} members of which one was taken for lost")
+@given("a cell of {count:d} members of which one was declared lost")
 def one_lost(context: Any, count: int) -> None:
-    _formed(context, count)
+    _form_cell(context, count)
     context.record = _planned(
         context.record, context.cell_table, lost=frozenset({context.names[0]})
     )
@@ -120,7 +120,7 @@
     context.planned = _planned(context.record, context.cell_table, joiners=joiners)
 
 
-@when("{count:d} of them report again though the first of them has certainly ended")
+@when("{count:d} of them report again although the first of them is known to have ended")
 def one_ended(context: Any, count: int) -> None:
     joiners = tuple(_joiner(name) for name in context.names[:count])
     ended = frozenset({context.names[0]})
@@ -133,7 +133,7 @@
     context.planned = next_record(context.record, view, "w9") or context.record
 
 
-@then("those {count:d} are members again and own every shard between them")
+@then("those {count:d} are members again and together own every shard")
 def members_again(context: Any, count: int) -> None:
     states = _states(context.planned)
     active = [name for name, state in states.items() if state is MemberState.ACTIVE]
@@ -142,7 +142,7 @@
     assert owners == set(context.reporting), owners
 
 
-@then("every shard still waits for each earlier owner but the new one")
+@then("every shard still waits for each earlier owner except the new owner")
 def waits_for_earlier(context: Any) -> None:
     before = {s.start: s for s in context.record.shards}
     for shard in context.planned.shards:
@@ -166,6 +166,6 @@
     assert active == context.names[1 : 1 + count], states
 
 
-@then("it stays retired as long as a shard names it")
+@then("it stays retired while a shard names it")
 def stays_retired(context: Any) -> None:
     assert _states(context.planned)[context.names[0]] is MemberState.RETIRED
--- a/features/steps/fuzz_steps.py
+++ b/features/steps/fuzz_steps.py
@@ -1,4 +1,4 @@
-"""Steps that run the state machines; ``EXAMPLES`` makes them run longer."""
+"""Steps that run the state machines; ``EXAMPLES`` replaces their number of examples."""
 
 import os
 import sys
@@ -34,16 +34,16 @@
 }
 
 
-@when('the "{name}" machine runs for its examples')
+@when('the "{name}" state machine runs its examples')
 def run_machine(context: Any, name: str) -> None:
     machine, examples, steps = MACHINES[name]
-    longer = os.environ.get("EXAMPLES")
+    examples_override = os.environ.get("EXAMPLES")
     config = settings(
-        max_examples=int(longer) if longer else examples,
+        max_examples=int(examples_override) if examples_override else examples,
         stateful_step_count=steps,
         deadline=None,
-        # The same verdict on every run; a longer run draws anew.
-        derandomize=not longer,
+        # Without EXAMPLES every run has the same result; with it, each run draws new examples.
+        derandomize=not examples_override,
         database=None,
         suppress_health_check=list(HealthCheck),
     )
@@ -51,6 +51,6 @@
     context.notes["machine"] = name
 
 
-@then("its oracle found nothing")
-def found_nothing(context: Any) -> None:
+@then("its oracle found no violation")
+def no_violation(context: Any) -> None:
     assert context.notes["machine"]
--- a/features/steps/test_network_steps.py
+++ b/features/steps/test_network_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the loopback networks of test clusters."""
+"""Steps for the loopback networks of test clusters."""
 
 from typing import Any
 
@@ -18,7 +18,7 @@
     assert first.prefix != second.prefix, first.prefix
 
 
-@then("one that was let go can be claimed again")
+@then("a network that was released can be claimed again")
 def claimed_again(context: Any) -> None:
     first, second = context.claimed
     first.release()
--- a/features/steps/worth_steps.py
+++ b/features/steps/worth_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the table of lost credit."""
+"""Steps for the table of the score that is lost, by cause."""
 
 import json
 import tempfile
@@ -30,9 +30,9 @@
         return table(read_days(Path(folder))).splitlines()[2:]
 
 
-@given('entries of two plays of "{name}" with worth {first:g} and then {second:g}, '
+@given('entries of two runs of "{name}" with worth {first:g} and then {second:g}, '
        "and of a drawn day")  # fmt: skip
-def two_plays(context: Any, name: str, first: float, second: float) -> None:
+def two_runs(context: Any, name: str, first: float, second: float) -> None:
     context.rows = _table(
         [
             _entry(name, "2026-01-02", second, []),
--- a/features/test_networks.feature
+++ b/features/test_networks.feature
@@ -1,11 +1,11 @@
-Feature: Clusters of tests keep apart
+Feature: Test clusters use separate loopback networks
 
-  A cell of four was never ready again after its third daemon was replaced: its rows in the store
-  named three servers. A second cluster of three, started by hand at that moment, had chosen the
-  same loopback network by its process id, had written its own rows to the first one's store, and
-  none of its own daemons could listen.
+  Two clusters that run at once could choose the same loopback network, as each derived it from a
+  process id. The second cluster then wrote its rows to the first one's store, and none of its
+  daemons could listen. As the rows named another number of servers, three instead of four, the
+  first cluster's cell was never ready again after a daemon was replaced.
 
-  Scenario: Two clusters at once are never on one network
+  Scenario: Two clusters that run at once never share a network
     When two loopback networks are claimed at once
     Then they differ
-    And one that was let go can be claimed again
+    And a network that was released can be claimed again
--- a/features/worth.feature
+++ b/features/worth.feature
@@ -1,7 +1,7 @@
-Feature: Where the credit of the users' bench goes
+Feature: Table of the score that is lost in runs of the users' bench
 
-  Scenario: The newest play of each standard day gets a row
-    Given entries of two plays of "quiet-1" with worth 0.5 and then 0.75, and of a drawn day
+  Scenario: The newest run of each standard day gets a row
+    Given entries of two runs of "quiet-1" with worth 0.5 and then 0.75, and of a drawn day
     Then the table has one row, with worth 0.750, the largest loss first and no broken rule
 
   Scenario: A broken rule is named
