--- a/features/new_services.feature
+++ b/features/new_services.feature
@@ -2,11 +2,11 @@
 Feature: A service that a daemon does not know yet is not reported as unknown
 
   A daemon that reported "ready" could answer 404 "unknown-service", which is final, for a service
-  that existed. In the first 0.6 s this happened at daemons that had the services' cell records but
-  not their rows: records are announced when they are written, while rows were announced before
-  the daemons knew any peer, and so arrived only with a round of digests, which takes a second.
-  Readiness waited for neither. The symptoms are "pearward:failed" with "unknown-service" in the
-  log, and "versions" without the rows in the daemon's status.
+  that existed. This happened in the first 0.6 s after the start, at daemons that had the services'
+  cell records but not their rows: records are announced when they are written, while rows were
+  announced before the daemons knew any peer, and so arrived only with a round of digests, which
+  takes a second. Readiness waited for neither. The symptoms are "pearward:failed" with
+  "unknown-service" in the log, and "versions" without the rows in the daemon's status.
 
   Scenario: A daemon that has just started never says that a service does not exist
     When a daemon of "roster-app" is killed and started again
--- a/tests/fuzz/cell_world.py
+++ b/tests/fuzz/cell_world.py
@@ -1,7 +1,7 @@
-"""A small world for the ownership core: agents, a platform record, links and clocks.
+"""In-memory environment of the ownership core: agents, a platform record, links and clocks.
 
-It is no simulator of a cluster: it holds just what the sans-I/O core can see, so that
-hypothesis can choose what goes wrong and an oracle can look at every agent at once.
+It is not a simulation of a cluster. It models only what the core, which does no I/O, can observe,
+so that hypothesis can choose the faults and an oracle can inspect all agents at once.
 """
 
 from collections.abc import Iterable
@@ -33,7 +33,7 @@
 
 @dataclass
 class Platform:
-    """The record as the platform's service holds it."""
+    """Stand-in for the platform's store, which holds the record."""
 
     record: CellRecord = field(default_factory=lambda: CellRecord(CELL, CELL))
     history: list[CellRecord] = field(default_factory=list)
@@ -49,7 +49,7 @@
 
 @dataclass
 class Role:
-    """A coordinator: what it believes to be in force."""
+    """A coordinator and the record that it considers to be in force."""
 
     core: Coordinator
     record: CellRecord
@@ -58,7 +58,7 @@
 
 @dataclass
 class Run:
-    """A request at a server."""
+    """A request that runs at a server."""
 
     number: int
     permit: Permit
@@ -66,11 +66,11 @@
 
 @dataclass
 class Node:
-    """One instance: an agent with its clock, its server's grants and maybe the role."""
+    """One instance: an agent, its clock, its running requests, and its role if it has one."""
 
     number: int
     address: str
-    rate: float
+    clock_rate: float
     agent: CellAgent
     incarnation: str
     paused: bool = False
@@ -81,7 +81,7 @@
 
 @dataclass(frozen=True)
 class Parcel:
-    """A message under way."""
+    """A message in transit."""
 
     sender: PeerId
     target: str
@@ -89,7 +89,7 @@
 
 
 class World:
-    """Everything that the rules of a state machine act on."""
+    """The state on which the rules of a state machine act."""
 
     def __init__(self, count: int, *, same_identity: bool = False) -> None:
         self.time = 1000.0
@@ -99,14 +99,14 @@
         self.slow: set[tuple[str, str]] = set()
         """Links whose messages wait until they are delivered one by one, in any order."""
         self.writes = 0
-        """Releases that owners have written themselves."""
+        """Number of times that an owner has tried to write its release itself."""
         self._incarnations = 0
         self._same_identity = same_identity
         rows = {"service": {"kind": "keyed", "policy": "quick",
                             "shards_per_server": SHARDS_PER_SERVER},
                 "servers": {f"s{i}": {} for i in range(count)}}  # fmt: skip
         self.table = ServiceTable.from_mapping(CELL, rows)
-        self.nodes = [self._make(i) for i in range(count)]
+        self.nodes = [self._new_node(i) for i in range(count)]
         self.highest_epoch: dict[int, int] = {}
         self.positions = [
             (2 * i + 1) * HASH_SPACE // (2 * SHARDS_PER_SERVER * count)
@@ -115,26 +115,26 @@
 
     # -- nodes ------------------------------------------------------------------
 
-    def _make(self, number: int) -> Node:
+    def _new_node(self, number: int) -> Node:
         self._incarnations += 1
         name = f"n{number}" if self._same_identity else f"n{number}.{self._incarnations}"
         address = f"10.0.0.{number}:1"
         me = PeerId(name, address)
         joiner = Joiner(name, f"i{number}", f"s{number}", f"d{number % 3}", address, address)
         # Clocks differ by less than the drift that the lease allows for.
-        rate = 1.0 + (number % 3 - 1) * TIMING.drift * 0.9
-        return Node(number, address, rate, CellAgent(me, joiner, CELL, TIMING), name)
+        clock_rate = 1.0 + (number % 3 - 1) * TIMING.drift * 0.9
+        return Node(number, address, clock_rate, CellAgent(me, joiner, CELL, TIMING), name)
 
     def now(self, node: Node) -> float:
         """Return the time by a node's own clock."""
-        return self.time * node.rate + node.number * 77.0
+        return self.time * node.clock_rate + node.number * 77.0
 
     def restart(self, node: Node) -> None:
         """Replace a node's daemon by a new one."""
-        self.nodes[node.number] = self._make(node.number)
+        self.nodes[node.number] = self._new_node(node.number)
 
     def take_role(self, node: Node) -> None:
-        """Make a node coordinate, whoever else does."""
+        """Make a node the coordinator, even if another one still is."""
         core = Coordinator(CELL, TIMING, self.now(node))
         node.role = Role(core, self.platform.record)
         node.agent.set_coordinator(node.address)
@@ -145,19 +145,19 @@
     # -- time and messages --------------------------------------------------------
 
     def step(self) -> None:
-        """Let a little time pass: ticks, deliveries, decisions, grants."""
+        """Advance the time by one step, with ticks, deliveries and decisions of coordinators."""
         self.time += STEP_S
         for node in self.nodes:
-            if self._runs(node):
-                self._act(node, node.agent.tick(self.now(node)))
+            if self._is_running(node):
+                self._perform(node, node.agent.tick(self.now(node)))
         self.deliver()
         for node in self.nodes:
-            if self._runs(node) and node.role is not None:
+            if self._is_running(node) and node.role is not None:
                 self.decide(node)
         self.deliver()
 
     def deliver(self) -> None:
-        """Deliver everything that can be."""
+        """Deliver all messages that can be delivered."""
         for _ in range(6):
             parcels, self.parcels = self.parcels, []
             for parcel in parcels:
@@ -166,7 +166,7 @@
                 return
 
     def deliver_one(self, parcel: Parcel, *, force: bool = False) -> None:
-        """Deliver one message, unless its link is cut; a paused target gets it later."""
+        """Deliver one message unless its link is cut; a paused node gets it after it resumes."""
         node = next(n for n in self.nodes if n.address == parcel.target)
         if node.dead or (parcel.sender.address, parcel.target) in self.cut:
             return
@@ -176,25 +176,25 @@
         self._receive(node, parcel.sender, parcel.message)
 
     def deliver_replies(self, node: Node) -> None:
-        """Deliver the waiting answers of witnesses to one daemon, before anything else."""
-        mine = [
+        """Deliver the pending replies of witnesses to one daemon before any other message."""
+        replies = [
             p
             for p in self.parcels
             if p.target == node.address and isinstance(p.message, RenewReply)
         ]
-        for parcel in mine:
+        for parcel in replies:
             self.parcels.remove(parcel)
             self.deliver_one(parcel, force=True)
 
     def decide(self, node: Node, *, lose_answer: bool = False) -> None:
-        """Let a coordinator look at what it knows and write."""
+        """Let a coordinator plan the next record and write it."""
         role = node.role
         assert role is not None
         now = self.now(node)
         for other in self.nodes:
             reachable = (node.address, other.address) not in self.cut
             if reachable and not other.dead and not other.paused:
-                # As a connection that is dialled now, by the record known now.
+                # Equivalent to opening a connection now, to the members of the record known now.
                 expected = {m.incarnation for m in role.record.members if m.peer == other.address}
                 role.core.peer_seen(PeerId(other.incarnation, other.address))
                 role.core.note_ended(expected - {other.incarnation})
@@ -207,22 +207,22 @@
         if written and lose_answer:
             return
         role.record = self.platform.record
-        self._spread(node, role.record)
+        self._publish(node, role.record)
 
     def fall_back(self, node: Node) -> None:
-        """Let a daemon read the stored record itself, and write what it has given up there."""
+        """Let a daemon read the stored record itself and write its release to the store."""
         record = self.platform.record
-        self._act(node, node.agent.adopt(record, record.to_bytes(), self.now(node)))
+        self._perform(node, node.agent.adopt(record, record.to_bytes(), self.now(node)))
         self.writes += 1
         write_id = f"{node.incarnation}:release:{self.writes}"
         released = node.agent.ownership.released
         planned = without_release_of(record, node.incarnation, released, write_id)
         if planned is not None and self.platform.swap(record.version, planned):
-            self._spread(node, planned)
+            self._publish(node, planned)
 
-    def _spread(self, node: Node, record: CellRecord) -> None:
+    def _publish(self, node: Node, record: CellRecord) -> None:
         value = record.to_bytes()
-        self._act(node, node.agent.adopt(record, value, self.now(node)))
+        self._perform(node, node.agent.adopt(record, value, self.now(node)))
         push = Push(f"cell/{CELL}", record.version, value)
         for member in record.members:
             if member.incarnation != node.incarnation:
@@ -239,7 +239,7 @@
         now = self.now(node)
         if isinstance(message, Push):
             record = CellRecord.from_bytes(message.value)
-            self._act(node, node.agent.adopt(record, message.value, now))
+            self._perform(node, node.agent.adopt(record, message.value, now))
         elif isinstance(message, Heartbeat):
             if node.role is not None:
                 reply = node.role.core.on_heartbeat(sender, message, node.role.record.version, now)
@@ -250,44 +250,44 @@
                     push = Push(f"cell/{CELL}", record.version, record.to_bytes())
                     self._send(node, sender.address, push)
         elif not isinstance(message, HeartbeatReply):
-            self._act(node, node.agent.receive(sender, message, now))
+            self._perform(node, node.agent.receive(sender, message, now))
 
-    def _act(self, node: Node, actions: Iterable[Action]) -> None:
+    def _perform(self, node: Node, actions: Iterable[Action]) -> None:
         for action in actions:
             if isinstance(action, Send):
                 self._send(node, action.address, action.message)
             elif isinstance(action, GrantServer):
                 now = self.now(node)
-                self._act(node, node.agent.server_granted(action, True, now))
+                self._perform(node, node.agent.server_granted(action, True, now))
             elif isinstance(action, Abort):
                 for run in [r for r in node.runs if r.number in action.runs]:
                     self.finish(node, run)
 
-    def _runs(self, node: Node) -> bool:
+    def _is_running(self, node: Node) -> bool:
         return not node.dead and not node.paused
 
     # -- requests -----------------------------------------------------------------
 
     def start_request(self, node: Node, position: int) -> None:
-        """Run a request at a node if it admits it; the server sees epochs grow."""
+        """Start a request if the node admits it; check that epochs never decrease."""
         admission = node.agent.ownership.admit(position, self.now(node))
         if admission.verdict is not Verdict.SERVE:
             return
         assert admission.permit is not None
         permit = admission.permit
-        assert permit.epoch >= self.highest_epoch.get(position, 0), "an epoch went back"
+        assert permit.epoch >= self.highest_epoch.get(position, 0), "an epoch decreased"
         self.highest_epoch[position] = permit.epoch
         node.runs.append(Run(node.agent.ownership.started(permit), permit))
 
     def finish(self, node: Node, run: Run) -> None:
         """End a request."""
         node.runs.remove(run)
-        self._act(node, node.agent.finished(run.number, self.now(node)))
+        self._perform(node, node.agent.finished(run.number, self.now(node)))
 
     # -- the oracle -----------------------------------------------------------------
 
     def actors(self, position: int) -> set[str]:
-        """Return the incarnations that could act on a key now, were they to wake this moment."""
+        """Return the incarnations that could act on a key now if paused ones resumed."""
         found: set[str] = set()
         for node in self.nodes:
             if node.dead:
@@ -305,7 +305,7 @@
         return found
 
     def check(self) -> None:
-        """Check what must always hold; raises AssertionError."""
+        """Check the invariants; raises AssertionError."""
         for position in self.positions:
             actors = self.actors(position)
             assert len(actors) <= 1, f"{actors} could all act on {position:x}"
@@ -315,5 +315,5 @@
                 assert record.owner_of(shard) is not None, f"shard {shard.start:x} was lost"
 
     def served(self) -> int:
-        """Return how many of the sampled keys somebody serves now."""
+        """Return the number of sampled keys that can be served now."""
         return sum(bool(self.actors(position)) for position in self.positions)
--- a/tests/fuzz/ownership_machine.py
+++ b/tests/fuzz/ownership_machine.py
@@ -1,4 +1,4 @@
-"""Stateful fuzzing of sole ownership: hypothesis chooses the faults, the oracle sees all."""
+"""Stateful fuzzing of exclusive ownership: hypothesis chooses faults, an oracle checks agents."""
 
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
@@ -193,7 +193,7 @@
         if node.dead or node.paused:
             return
         if leaving:
-            # What it writes of its own witnesses reaches nobody any more.
+            # The record in which it changes its own witnesses no longer reaches other daemons.
             self.drain_running(number, 0, 1)
             self.coordinate(number)
         others = [n for n in self.world.nodes if n is not node][-frozen:]
--- a/tests/fuzz/table_machine.py
+++ b/tests/fuzz/table_machine.py
@@ -1,4 +1,4 @@
-"""Stateful fuzzing of table versions: racing editors, lost answers, spread that never reverts."""
+"""Stateful fuzzing of table versions: concurrent edits, lost responses, gossip of daemons."""
 
 from random import Random
 from typing import Any
@@ -22,7 +22,7 @@
 
 
 class FakePlatform:
-    """One key with compare-and-swap, whose answers can be lost and which others write between."""
+    """A key with compare-and-swap, whose responses may be lost and which others may write."""
 
     def __init__(self) -> None:
         self.value: bytes | None = None
@@ -31,14 +31,14 @@
         self.between: list[Any] = []
 
     async def get(self, key: str) -> KeyValue | None:
-        """Return the value; somebody else may write right afterwards."""
+        """Return the value; another operator may write immediately afterwards."""
         found = KeyValue(key, self.value, self.revision) if self.value is not None else None
         if self.between:
             self.between.pop()()
         return found
 
     async def swap(self, key: str, expected: int, value: bytes, lease: int = 0) -> None:
-        """Write, lose the write, or lose its answer."""
+        """Write the value, or lose the request or its response."""
         fate = self.lose.pop() if self.lose else ""
         if fate == "request":
             raise PlatformUnavailable("request lost")
@@ -46,7 +46,7 @@
             raise CasConflict(key)
         self.value, self.revision = value, self.revision + 1
         if fate == "answer":
-            raise PlatformUnavailable("answer lost")
+            raise PlatformUnavailable("response lost")
 
 
 class TableMachine(RuleBasedStateMachine):
--- a/tests/fuzz/teeth.py
+++ b/tests/fuzz/teeth.py
@@ -1,6 +1,6 @@
-"""Shows that the ownership machine has teeth: each safety rule is removed in turn.
+"""Mutation test of the ownership machine: each safety rule is removed in turn.
 
-``make fuzz-teeth`` prints one line per removed rule and fails if one goes unfound.
+``make fuzz-teeth`` prints one line per removed rule and fails if the machine does not detect one.
 """
 
 import os
@@ -24,20 +24,24 @@
 WORKERS = 5
 
 
-def _release_before_expiry(self: Any, ask: Any, record: Any, now: float) -> ReleaseReply:
-    return ReleaseReply(ask.cell, ask.owner, ask.version, True, record.version, 0)
+def _release_before_expiry(self: Any, request: Any, record: Any, now: float) -> ReleaseReply:
+    return ReleaseReply(request.cell, request.owner, request.version, True, record.version, 0)
 
 
 def _no_predecessors(self: Any, index: int, receiver: str) -> None:
-    _give(self, index, receiver, ())
+    _move_with_predecessors(self, index, receiver, ())
 
 
 def _no_chain_of_predecessors(self: Any, index: int, receiver: str) -> None:
     owner = self._owners[index]
-    _give(self, index, receiver, (owner,) if owner and owner not in self._view.ended else ())
+    _move_with_predecessors(
+        self, index, receiver, (owner,) if owner and owner not in self._view.ended else ()
+    )
 
 
-def _give(draft: Any, index: int, receiver: str, predecessors: tuple[str, ...]) -> None:
+def _move_with_predecessors(
+    draft: Any, index: int, receiver: str, predecessors: tuple[str, ...]
+) -> None:
     draft._keep_predecessors(index, predecessors)
     draft._owners[index] = receiver
     draft._epochs[index] = draft._version
@@ -67,15 +71,15 @@
 _on_renew = witness.Witness.on_renew
 
 
-def _grants_whatever_version(
-    self: Any, owner: str, ask: Any, record: Any, table_version: int, now: float
+def _grants_any_version(
+    self: Any, owner: str, request: Any, record: Any, table_version: int, now: float
 ) -> RenewReply:
     watched = self._watched.get(owner)
     if watched is None:
-        return _on_renew(self, owner, ask, record, table_version, now)
+        return _on_renew(self, owner, request, record, table_version, now)
     watched.last_renewal_at = now
     watched.granted_until = now + self._timing.lease_s
-    return RenewReply(ask.cell, owner, ask.nonce, True, record.version)
+    return RenewReply(request.cell, owner, request.nonce, True, record.version)
 
 
 def _one_release_is_enough(self: Any, witness_name: str, reply: ReleaseReply) -> bool:
@@ -84,7 +88,7 @@
     return reply.released
 
 
-def _released_while_running(self: Any) -> None:
+def _released_while_request_runs(self: Any) -> None:
     if self._record is not None:
         self._released = self._record.version
 
@@ -119,22 +123,22 @@
         ("lease counted from receipt", lease.OwnerLease, "renewal_granted", _counted_from_receipt),
         ("no joint witness set", draft, "repair_witnesses", _no_joint_set),
         ("former witnesses dropped early", draft, "_is_change_safe", _former_set_dropped),
-        ("witness grants any version", witness.Witness, "on_renew", _grants_whatever_version),
+        ("witness grants any version", witness.Witness, "on_renew", _grants_any_version),
         ("one witness's release is enough", CellAgent, "_count_release", _one_release_is_enough),
         ("released while a request runs", ownership.Ownership, "_update_released",
-         _released_while_running),
+         _released_while_request_runs),
     ]  # fmt: skip
-    made: list[Mutation] = [
+    mutations: list[Mutation] = [
         (name, lambda t=t, n=n, r=r: _patched(t, n, r), OwnershipMachine)  # type: ignore[misc]
         for name, t, n, r in rows
     ]
-    made.append(("owner's lease outlasts the witness's", _no_drift_margin, OwnershipMachine))
-    made.append(("witness identity by address", lambda: _patched(assignment, "__doc__", ""),
+    mutations.append(("owner's lease outlasts the witness's", _no_drift_margin, OwnershipMachine))
+    mutations.append(("witness identity by address", lambda: _patched(assignment, "__doc__", ""),
                  _SameIdentity))  # fmt: skip
-    return made
+    return mutations
 
 
-def _is_found(machine: type[OwnershipMachine]) -> bool:
+def _machine_fails(machine: type[OwnershipMachine]) -> bool:
     """Return whether the machine fails."""
     try:
         run_state_machine_as_test(
@@ -155,21 +159,21 @@
     return False
 
 
-def _try(name: str) -> tuple[str, bool]:
-    """Remove one rule, by its name, and look for it; the empty name removes none."""
+def _run_mutation(name: str) -> tuple[str, bool]:
+    """Run the machine without the named rule, or with all rules for an empty name."""
     if not name:
-        return name, _is_found(OwnershipMachine)
+        return name, _machine_fails(OwnershipMachine)
     _, apply, machine = next(m for m in _mutations() if m[0] == name)
     with apply():
-        return name, _is_found(machine)
+        return name, _machine_fails(machine)
 
 
 def main() -> int:
-    """Try every mutation, or those named on the command line; return the exit code."""
+    """Run every mutation, or those named on the command line; return the exit code."""
     names = sys.argv[1:] or ["", *(name for name, _, _ in _mutations())]
     failures = 0
     with ProcessPoolExecutor(max_workers=WORKERS) as pool:
-        for name, found in pool.map(_try, names):
+        for name, found in pool.map(_run_mutation, names):
             if not name:
                 print(f"{'BROKEN  ' if found else 'holds   '} the rules as they are", flush=True)
                 failures += found
