--- a/features/foreign.feature
+++ b/features/foreign.feature
@@ -1,6 +1,6 @@
 Feature: Messages and entries of other writers are validated strictly
 
-  # The input is a mutated valid message: with fields that are missing, of another type, huge,
+  # The input is a mutated valid message, with fields that are missing, of another type, huge,
   # negative or nested, or with bytes that cannot be read.
   Scenario Outline: A reader returns a valid value or raises its own error: <reader>
     When valid input of the <reader> reader is mutated 400 times
--- a/features/steps/coordinator_role_steps.py
+++ b/features/steps/coordinator_role_steps.py
@@ -139,7 +139,7 @@
 
 
 @when("only its own daemon reports for {seconds:g} seconds, and reports that it hears no other")
-def alone(context: Any, seconds: float) -> None:
+def only_own_daemon_reports(context: Any, seconds: float) -> None:
     """Plan as the coordinator does, with the time passed as a value instead of waited for."""
     core = Coordinator(SERVICE, LeaseTiming(), 0.0)
     record = context.first_record
@@ -206,7 +206,7 @@
 
 
 @when("it gets no reply for {seconds:d} seconds while it {hears}")
-def no_answer(context: Any, seconds: int, hears: str) -> None:
+def no_reply(context: Any, seconds: int, hears: str) -> None:
     for step in range(int(seconds / STEP_S)):
         with patch(
             "pearward_daemon.coordinator_election.boot_time", return_value=1000.0 + step * STEP_S
@@ -253,13 +253,13 @@
 
 
 @when('a late reply of the daemon at "{address}" says that it does not coordinate')
-def answers_late(context: Any, address: str) -> None:
+def late_reply(context: Any, address: str) -> None:
     reply = HeartbeatReply(VALID["server"]["service"], False, 0)
     context.control.control_received(PeerId(f"at-{address}", address), reply)
 
 
 @then('it follows "{address}"')
-def still_follows(context: Any, address: str) -> None:
+def follows_address(context: Any, address: str) -> None:
     assert context.control.agent.coordinator == address, context.control.agent.coordinator
 
 
