--- a/packages/daemon/src/pearward_daemon/mesh/app.py
+++ b/packages/daemon/src/pearward_daemon/mesh/app.py
@@ -175,7 +175,7 @@
         self._local_target.refuse_new()
         keep = self._local_target.info is not None
         self._log.emit(
-            "ending", waited_s=round(waited_s, 3), open=self._open_requests,
+            "store_session_stopping", waited_s=round(waited_s, 3), open=self._open_requests,
             entry_kept=keep,
         )  # fmt: skip
         self._core.session.stop(keep_entry=keep).addBoth(lambda _: self._exit_when_idle())
--- a/packages/daemon/src/pearward_daemon/mesh/core.py
+++ b/packages/daemon/src/pearward_daemon/mesh/core.py
@@ -301,7 +301,7 @@
 
     def member_gone(self, instance: str) -> None:
         """Apply the removal of a member's entry."""
-        self._log.emit("member_entry_gone", instance=instance)
+        self._log.emit("member_entry_removed", instance=instance)
         self._directory.entry_removed(instance, boot_time())
 
     def crashes_read(self, records: list[CrashRecord]) -> None:
@@ -534,7 +534,7 @@
             self.request_map(query.service, requester.address)
         if query.service != self._settings.service:
             # Not a target of this instance: its witnesses report when its lease has expired.
-            self._log.emit("question_not_for_here", service=query.service)
+            self._log.emit("key_query_misdirected", service=query.service)
             return
         if len(self._pending_queries) < MAX_PENDING_QUERIES:
             self._pending_queries[query] = requester
--- a/packages/daemon/src/pearward_daemon/mesh/ingress.py
+++ b/packages/daemon/src/pearward_daemon/mesh/ingress.py
@@ -238,7 +238,7 @@
         """Refuse a request at once, without an attempt."""
         headers = self._dialect.refusal_headers(request_id, retry_after_s)
         self.log.emit(
-            "refused_at_once", failure=True, id=request_id.decode("latin-1"), status=status,
+            "request_refused", failure=True, id=request_id.decode("latin-1"), status=status,
             detail=detail,
         )  # fmt: skip
         request.send_response(status, headers, b"")
--- a/packages/daemon/src/pearward_daemon/mesh/key_planner.py
+++ b/packages/daemon/src/pearward_daemon/mesh/key_planner.py
@@ -207,10 +207,10 @@
             for service in self._services.values():
                 service.entry.invalidate()
                 service.owners_since = None
-            self._log.emit("planner_duty_begun", members=len(self._directory.registered))
+            self._log.emit("planner_activated", members=len(self._directory.registered))
         elif not active and self._active_since is not None:
             self._active_since = None
-            self._log.emit("planner_duty_ended", holder=holder.instance if holder else "")
+            self._log.emit("planner_deactivated", holder=holder.instance if holder else "")
         if now - self._seen_at >= MEMBER_SCAN_INTERVAL_S:
             self._seen_at = now
             for member in self._directory.registered:
@@ -260,7 +260,7 @@
             return
         except CasConflict as error:
             service.entry.invalidate()
-            self._log.emit("key_map_write_lost", service=name, error=str(error))
+            self._log.emit("key_map_write_conflict", service=name, error=str(error))
         except PlatformError as error:
             service.entry.invalidate()
             self._log.emit("planning_delayed", service=name, error=str(error))
--- a/packages/daemon/src/pearward_daemon/mesh/local_target.py
+++ b/packages/daemon/src/pearward_daemon/mesh/local_target.py
@@ -279,7 +279,7 @@
         self._leaving_since = None
         self._slots.set_slots(target_heartbeat.slots)
         self._log.emit(
-            "target_began", target=target_heartbeat.target, former=former,
+            "target_first_heartbeat", target=target_heartbeat.target, former=former,
             slots=target_heartbeat.slots, sequence=target_heartbeat.sequence,
         )  # fmt: skip
 
@@ -402,7 +402,7 @@
         one; without this record the running target's own would then be rejected as late.
         """
         if addressed == self._grant_manager.target and self._incarnations.note_other_incarnation():
-            self._log.emit("other_target_there", failure=True, target=addressed)
+            self._log.emit("other_target_detected", failure=True, target=addressed)
 
     def _map_outdated(self) -> None:
         if self._listener is not None:
--- a/packages/daemon/src/pearward_daemon/mesh/member_feed.py
+++ b/packages/daemon/src/pearward_daemon/mesh/member_feed.py
@@ -171,7 +171,7 @@
         if reply is None or not reply.follows:
             self._watchers.note_silent(watcher.instance, boot_time())
             self._log.emit(
-                "watcher_passed_over", instance=watcher.instance, after=after,
+                "watcher_skipped", instance=watcher.instance, after=after,
                 why="no answer" if reply is None else "it does not follow the store",
             )  # fmt: skip
             return None
--- a/packages/daemon/src/pearward_daemon/mesh/own_entry.py
+++ b/packages/daemon/src/pearward_daemon/mesh/own_entry.py
@@ -126,7 +126,7 @@
         """Write the entry again: it is missing although the lease may be valid."""
         if self._written is None or self._stopped:
             return
-        self._log.emit("entry_gone", failure=True, lease=self._lease)
+        self._log.emit("entry_missing", failure=True, lease=self._lease)
         self._written = None
         self._write_soon()
 
--- a/packages/daemon/src/pearward_daemon/mesh/store_session.py
+++ b/packages/daemon/src/pearward_daemon/mesh/store_session.py
@@ -181,7 +181,7 @@
         try:
             await self._store.revoke(lease)
         except PlatformError as error:
-            self._log.emit("lease_not_ended", failure=True, lease=lease, error=str(error))
+            self._log.emit("lease_revoke_failed", failure=True, lease=lease, error=str(error))
 
     # -- the lease ------------------------------------------------------------------
 
@@ -216,7 +216,7 @@
 
     async def _create_lease(self) -> None:
         self._lease = await self._store.grant_lease(self._settings.store.lease_ttl_s)
-        self._log.emit("lease_begun", lease=self._lease)
+        self._log.emit("lease_created", lease=self._lease)
         await self._own_entry.write_under_lease(self._lease)
 
     # -- entries ------------------------------------------------------------------------
@@ -391,13 +391,13 @@
                 retry_s = FIRST_RETRY_S
                 await sleep(self._reactor, batch_delay() if changes.events else 0.0)
             except HistoryUnavailable:
-                self._log.emit("store_history_gone", after=after)
+                self._log.emit("store_history_unavailable", after=after)
                 self._check_era()
                 after = None
             except PlatformError as error:
                 # The next call continues after the last revision: changes missed meanwhile are
                 # returned, or HistoryUnavailable is raised if the store has compacted them.
-                self._log.emit("watch_cut", after=after, error=str(error))
+                self._log.emit("watch_failed", after=after, error=str(error))
                 if not self._available and not (fed_by_peers and after is not None):
                     # The lease loop keeps calling, and restarts the watches on the first success.
                     return
@@ -424,7 +424,7 @@
         crashes = self._crashes.store_restored()
         self._rollbacks += 1
         self._log.emit(
-            "store_went_back", failure=True, era=self._era, before=before,
+            "store_restored", failure=True, era=self._era, before=before,
             crashes_written=crashes,
         )  # fmt: skip
         # Read all again, as the store now holds older entries and lacks some.
@@ -435,7 +435,7 @@
         if not self._available:
             self._available = True
             self._feed.set_store_available(True)
-            self._log.emit("store_regained", lease=self._lease)
+            self._log.emit("store_available", lease=self._lease)
             self._listener.store_availability_changed(boot_time())
             # Watches on connections that failed silently would continue to wait.
             self._start_watches()
@@ -444,5 +444,5 @@
         if self._available:
             self._available = False
             self._feed.set_store_available(False)
-            self._log.emit("store_lost", failure=True, error=str(error))
+            self._log.emit("store_unavailable", failure=True, error=str(error))
             self._listener.store_availability_changed(None)
--- a/packages/daemon/src/pearward_daemon/mesh/target_lease.py
+++ b/packages/daemon/src/pearward_daemon/mesh/target_lease.py
@@ -154,7 +154,7 @@
             return False
         self._held = held
         self._log.emit(
-            "lease_held" if held else "lease_run_out", failure=not held, target=self._target,
+            "lease_held" if held else "lease_not_held", failure=not held, target=self._target,
             witnesses=list(self._witness_set), ends_in_s=round(self._lease.valid_until - now, 3)
             if held else 0.0,
         )  # fmt: skip
