--- a/features/coordinator_role.feature
+++ b/features/coordinator_role.feature
@@ -6,7 +6,7 @@
   word, but planned from the version that it had read: there it was a member, everybody
   reported, nothing was to be changed, so it wrote nothing, and only after a write of its own
   did it read again. It stayed outside the cell for as long as nothing else happened. The log
-  shows it: "cell-belief" of version 49 at the one, "record" up to version 52 at the other, and
+  shows it: "cell-view" of version 49 at the one, "record-written" up to version 52 at the other, and
   a status that is at record_version 52 with "no ownership lease".
 
   Scenario: A coordinator that was replaced for a while plans from what was written meanwhile
--- a/features/cut_off.feature
+++ b/features/cut_off.feature
@@ -6,8 +6,8 @@
   of each other daemon as two of that one's three witnesses, wrote that both were lost and that all
   keys were its own, and could not serve one of them, since nobody renewed its lease. The other two
   took the role back and undid it, and so on every few seconds: in 25 s not one of 62 requests at
-  the two sound daemons was served. The log shows "coordinator-taken" at the cut one, then a
-  "record" in which it is the only active member.
+  the two sound daemons was served. The log shows "coordinator-role-taken" at the cut one, then a
+  "record-written" in which it is the only active member.
 
   Scenario: Keys are served by the other two for as long as one is cut off
     Given callers send requests to "premview"
--- a/features/cut_off_alone.feature
+++ b/features/cut_off_alone.feature
@@ -6,7 +6,7 @@
   came back, the record gave its 128 shards of 256 to the three others, and these waited for its
   release, which nobody but itself could give: for as long as the cut lasted. The daemon that was
   cut off still reached the store, knew the record and had given the shards up, but told only the
-  peers that it could not reach. The log shows a "record" in which it is retired with itself as
+  peers that it could not reach. The log shows a "record-written" in which it is retired with itself as
   the only witness, the statuses of the others "shards are pending" and its incarnation in their
   "awaited_releases".
 
--- a/features/new_services.feature
+++ b/features/new_services.feature
@@ -6,7 +6,7 @@
   first 0.6 s, each by a daemon that had the services' cell records and not their rows. Records
   are announced when they are written; rows had been announced before the daemons knew any peer,
   and came with a round of digests, which takes a second. Readiness asked for neither. The log
-  shows it: "pearward:failed" with "unknown-service", and the rows' "versions" missing in the
+  shows it: "pearward:request-failed" with "unknown-service", and the rows' "versions" missing in the
   daemon's status.
 
   Scenario: A daemon that has just started never says that a service does not exist
--- a/packages/daemon/src/pearward_daemon/caller_request.py
+++ b/packages/daemon/src/pearward_daemon/caller_request.py
@@ -590,4 +590,4 @@
             self._action.finish()
         elif self._ingress.log_requests is not LogRequests.NONE and outcome is not Outcome.SERVED:
             service = self._context.service if self._context is not None else ""
-            eliot.log_message("pearward:failed", service=service, **fields)
+            eliot.log_message("pearward:request-failed", service=service, **fields)
--- a/packages/daemon/src/pearward_daemon/cell_coordinator.py
+++ b/packages/daemon/src/pearward_daemon/cell_coordinator.py
@@ -169,7 +169,7 @@
                 await self._read_table()
                 self._loaded = True
             except PlatformUnavailable as error:
-                eliot.log_message("pearward:platform", call="load", error=str(error))
+                eliot.log_message("pearward:platform-call-failed", call="load", error=str(error))
                 await sleep(self._reactor, READ_RETRY_S)
 
     async def _read_record(self) -> None:
@@ -225,7 +225,7 @@
         try:
             await self._read_record()
         except PlatformUnavailable as error:
-            eliot.log_message("pearward:platform", call="catch up", error=str(error))
+            eliot.log_message("pearward:platform-call-failed", call="catch up", error=str(error))
             return
         version = self._record.version if self._record is not None else 0
         if version != before:
@@ -253,7 +253,9 @@
             # An earlier write of this daemon took effect, or another coordinator has written.
             await self._confirm_write(planned)
         except PlatformUnavailable as error:
-            eliot.log_message("pearward:platform", call="write record", error=str(error))
+            eliot.log_message(
+                "pearward:platform-call-failed", call="write record", error=str(error)
+            )
             await sleep(self._reactor, 0.2)
             await self._confirm_write(planned)
         finally:
@@ -264,7 +266,7 @@
         try:
             await self._read_record()
         except PlatformUnavailable as error:
-            eliot.log_message("pearward:platform", call="read back", error=str(error))
+            eliot.log_message("pearward:platform-call-failed", call="read back", error=str(error))
             await sleep(self._reactor, READ_RETRY_S)
             return
         record = self._record
@@ -306,7 +308,7 @@
         except PlatformUnavailable as error:
             if not self._loaded:
                 raise
-            eliot.log_message("pearward:platform", call="read table", error=str(error))
+            eliot.log_message("pearward:platform-call-failed", call="read table", error=str(error))
             return
         if pair is not None:
             self._adopt_table(pair.value)
@@ -326,7 +328,9 @@
         try:
             pairs = await self._platform.scan(INSTANCES)
         except PlatformUnavailable as error:
-            eliot.log_message("pearward:platform", call="list instances", error=str(error))
+            eliot.log_message(
+                "pearward:platform-call-failed", call="list instances", error=str(error)
+            )
             return
         finally:
             self._polling = False
@@ -366,7 +370,7 @@
         try:
             alive = await self._platform.keep_alive(self._lease)
         except PlatformUnavailable as error:
-            eliot.log_message("pearward:platform", call="keep alive", error=str(error))
+            eliot.log_message("pearward:platform-call-failed", call="keep alive", error=str(error))
             return
         if not alive:
             self._give_up_role("")
@@ -374,5 +378,7 @@
     def _give_up_role(self, successor: str) -> None:
         if not self._stopped:
             self.stop()
-            eliot.log_message("pearward:coordinator-lost", cell=self._cell, successor=successor)
+            eliot.log_message(
+                "pearward:coordinator-role-lost", cell=self._cell, successor=successor
+            )
             self._on_lost(successor)
--- a/packages/daemon/src/pearward_daemon/control.py
+++ b/packages/daemon/src/pearward_daemon/control.py
@@ -391,7 +391,9 @@
             try:
                 pairs = await self._platform.scan(INSTANCES)
             except PlatformUnavailable as error:
-                eliot.log_message("pearward:platform", call="find peers", error=str(error))
+                eliot.log_message(
+                    "pearward:platform-call-failed", call="find peers", error=str(error)
+                )
                 pairs = []
             listed = [i for i in map(parse_instance, pairs) if i is not None]
             self._bootstrap_peers = tuple(
@@ -502,7 +504,7 @@
         if key != self._serving_state:
             self._serving_state = key
             eliot.log_message(
-                "pearward:serving", cell=self._cell, version=ownership.adopted,
+                "pearward:serving-state", cell=self._cell, version=ownership.adopted,
                 lease_held=self.lease_held, term=self._agent.lease.term,
                 shards=ownership.shard_count, serving=ownership.serving_count,
                 released=ownership.released, awaited=ownership.awaited_releases(),
--- a/packages/daemon/src/pearward_daemon/coordinator_election.py
+++ b/packages/daemon/src/pearward_daemon/coordinator_election.py
@@ -130,7 +130,9 @@
             # Another member has taken the role: read the holder again at once.
             self._silent_holder, self._holder_replied = "", False
         except PlatformUnavailable as error:
-            eliot.log_message("pearward:platform", call="seek coordinator", error=str(error))
+            eliot.log_message(
+                "pearward:platform-call-failed", call="seek coordinator", error=str(error)
+            )
             self._back_off()
         finally:
             self._seeking = False
@@ -143,14 +145,14 @@
         the role every 5 to 11 s, and each time the others had no coordinator for 1 to 2 s (four
         runs of 20 to 40 s).
         """
-        eliot.log_message("pearward:role-left", cell=self._cell, holder=role.incarnation)
+        eliot.log_message("pearward:role-kept-by-holder", cell=self._cell, holder=role.incarnation)
         self._last_reply = boot_time() - COORDINATOR_SILENCE_S
 
     async def _take(self, revision: int) -> None:
         lease = await self._platform.grant_lease(ROLE_TTL_S)
         value = json.dumps({"incarnation": self._me.incarnation, "address": self._me.address})
         await self._platform.swap(f"coordinator/{self._cell}", revision, value.encode(), lease)
-        eliot.log_message("pearward:coordinator-taken", cell=self._cell)
+        eliot.log_message("pearward:coordinator-role-taken", cell=self._cell)
         self._holder = self._me.incarnation
         self.note_received()
         self._on_taken(lease)
--- a/packages/daemon/src/pearward_daemon/coordinator_log.py
+++ b/packages/daemon/src/pearward_daemon/coordinator_log.py
@@ -24,7 +24,7 @@
         """Log a record that has taken effect, with the members that changed or were removed."""
         rows = _member_rows(record)
         eliot.log_message(
-            "pearward:record",
+            "pearward:record-written",
             cell=self._cell,
             version=record.version,
             members=len(rows),
@@ -39,7 +39,7 @@
         if belief == before:
             return
         eliot.log_message(
-            "pearward:cell-belief",
+            "pearward:cell-view",
             cell=self._cell,
             version=version,
             reporting=len(belief.reporting),
--- a/packages/daemon/src/pearward_daemon/service_finder.py
+++ b/packages/daemon/src/pearward_daemon/service_finder.py
@@ -83,7 +83,9 @@
             try:
                 keys = await self._platform.names(TABLE)
             except PlatformUnavailable as error:
-                eliot.log_message("pearward:platform", call="list services", error=str(error))
+                eliot.log_message(
+                    "pearward:platform-call-failed", call="list services", error=str(error)
+                )
                 await sleep(self._reactor, LIST_RETRY_S)
             else:
                 self._listed = tuple(key.removeprefix(TABLE) for key in keys)
--- a/packages/daemon/src/pearward_daemon/store_fallback.py
+++ b/packages/daemon/src/pearward_daemon/store_fallback.py
@@ -94,9 +94,11 @@
             if pair is not None:
                 await self._act_on(pair)
         except CasConflict:
-            eliot.log_message("pearward:release-overtaken", key=self._key)
+            eliot.log_message("pearward:release-write-conflict", key=self._key)
         except PlatformUnavailable as error:
-            eliot.log_message("pearward:platform", call="look at record", error=str(error))
+            eliot.log_message(
+                "pearward:platform-call-failed", call="look at record", error=str(error)
+            )
         except InvalidRecord as error:
             eliot.log_message("pearward:invalid-record", key=self._key, error=str(error))
         finally:
--- a/packages/daemon/src/pearward_daemon/tasks.py
+++ b/packages/daemon/src/pearward_daemon/tasks.py
@@ -14,7 +14,9 @@
 
     def failed(failure: Failure) -> None:
         eliot.log_message(
-            "pearward:bug", error=failure.getErrorMessage(), traceback=failure.getTraceback()
+            "pearward:unexpected-exception",
+            error=failure.getErrorMessage(),
+            traceback=failure.getTraceback(),
         )
 
     return ensureDeferred(coroutine).addErrback(failed)
