--- a/features/steps/key_map_change_steps.py
+++ b/features/steps/key_map_change_steps.py
@@ -125,7 +125,7 @@
     told = call.kwargs
     assert (told["base"], told["version"], told["sender"]) == (21, 22, "n1:1")
     assert told["held"] == (context.held.version if context.held else 0)
-    assert told["why"]
+    assert told["reason"]
 
 
 @then("the whole map brings it to the next version")
--- a/packages/daemon/src/pearward_daemon/cell_coordinator.py
+++ b/packages/daemon/src/pearward_daemon/cell_coordinator.py
@@ -225,7 +225,9 @@
         try:
             await self._read_record()
         except PlatformUnavailable as error:
-            eliot.log_message("pearward:platform-call-failed", call="catch up", error=str(error))
+            eliot.log_message(
+                "pearward:platform-call-failed", call="reread record", error=str(error)
+            )
             return
         version = self._record.version if self._record is not None else 0
         if version != before:
--- a/packages/daemon/src/pearward_daemon/coordinator_election.py
+++ b/packages/daemon/src/pearward_daemon/coordinator_election.py
@@ -131,7 +131,7 @@
             self._silent_holder, self._holder_replied = "", False
         except PlatformUnavailable as error:
             eliot.log_message(
-                "pearward:platform-call-failed", call="seek coordinator", error=str(error)
+                "pearward:platform-call-failed", call="find coordinator", error=str(error)
             )
             self._back_off()
         finally:
--- a/packages/daemon/src/pearward_daemon/coordinator_log.py
+++ b/packages/daemon/src/pearward_daemon/coordinator_log.py
@@ -29,7 +29,7 @@
             version=record.version,
             members=len(rows),
             changed=[row for name, row in rows.items() if self._rows.get(name) != row],
-            gone=[name for name in self._rows if name not in rows],
+            removed=[name for name in self._rows if name not in rows],
         )
         self._rows = rows
 
@@ -43,9 +43,9 @@
             cell=self._cell,
             version=version,
             reporting=len(belief.reporting),
-            reports_again=[n for n in belief.reporting if n not in before.reporting],
-            reports_no_more=[n for n in before.reporting if n not in belief.reporting],
-            missed=list(belief.missed),
+            started_reporting=[n for n in belief.reporting if n not in before.reporting],
+            stopped_reporting=[n for n in before.reporting if n not in belief.reporting],
+            reported_silent=list(belief.missed),
             lost=list(belief.lost),
             ended=list(belief.ended),
             draining=list(belief.draining),
@@ -63,7 +63,7 @@
             "server": member.server,
             "state": member.state.value,
             "shards": owned[index],
-            "awaited_for": awaited[index],
+            "unreleased_shards": awaited[index],
             "witnesses": list(member.witnesses),
             "former_witnesses": list(member.former_witnesses),
         }
--- a/packages/daemon/src/pearward_daemon/daemon.py
+++ b/packages/daemon/src/pearward_daemon/daemon.py
@@ -152,7 +152,7 @@
         return ownership.shard_count == 0 and ownership.released >= record.version
 
     def _stop(self, waited_s: float, cut: int) -> None:
-        eliot.log_message("pearward:stopped", drained_s=round(waited_s, 3), cut=cut)
+        eliot.log_message("pearward:stopped", drained_s=round(waited_s, 3), aborted=cut)
         self._caller_port.stopListening()
         self._control.stop()
         self._pool.close()
--- a/packages/daemon/src/pearward_daemon/mesh/app.py
+++ b/packages/daemon/src/pearward_daemon/mesh/app.py
@@ -191,7 +191,7 @@
             return
         self._log.emit(
             "stopped", waited_s=round(waited_s, 3), open=open_requests,
-            cut=self._ingress.cancel_open(),
+            aborted=self._ingress.cancel_open(),
         )  # fmt: skip
         self._caller_port.stopListening()
         self._pool.close()
--- a/packages/daemon/src/pearward_daemon/mesh/core.py
+++ b/packages/daemon/src/pearward_daemon/mesh/core.py
@@ -260,7 +260,7 @@
             return
         self._log.emit(
             "configuration_in_force", version=table.version, routes=len(table.routes),
-            before=present.version if present is not None else 0,
+            previous_version=present.version if present is not None else 0,
         )  # fmt: skip
         self._table = table
         if self._on_table is not None:
--- a/packages/daemon/src/pearward_daemon/mesh/crash_control.py
+++ b/packages/daemon/src/pearward_daemon/mesh/crash_control.py
@@ -44,7 +44,7 @@
 
     def report_local_crash(self, record: CrashRecord) -> None:
         """Record a crash of the local target, store it and send it to the other daemons."""
-        self._note_crash(record, "seen here")
+        self._note_crash(record, "detected by this daemon")
         self._store_record(record)
         message = TargetCrashed(record.target, record.contents)
         for member in self._directory.members:
@@ -54,7 +54,9 @@
 
     def peer_reported(self, message: TargetCrashed) -> None:
         """Record a crash that another daemon has just detected."""
-        self._note_crash(CrashRecord(message.target, unix_time(), message.contents), "told")
+        self._note_crash(
+            CrashRecord(message.target, unix_time(), message.contents), "reported by another daemon"
+        )
 
     def recorded(self, records: Iterable[CrashRecord]) -> None:
         """Record crashes read from the store."""
--- a/packages/daemon/src/pearward_daemon/mesh/crash_guard.py
+++ b/packages/daemon/src/pearward_daemon/mesh/crash_guard.py
@@ -132,7 +132,7 @@
         """Handle a crash: report the contents that the target was running."""
         broken = self._broken.take(now)
         self._log.emit(
-            "target_crashed", failure=True, target=target, shown_by=shown_by,
+            "target_crashed", failure=True, target=target, evidence=shown_by,
             requests=[exchange.request_id for exchange in broken],
             contents=[exchange.content for exchange in broken],
         )  # fmt: skip
--- a/packages/daemon/src/pearward_daemon/mesh/key_map_entry.py
+++ b/packages/daemon/src/pearward_daemon/mesh/key_map_entry.py
@@ -90,7 +90,7 @@
         )  # fmt: skip
         self._revision = item.revision if item is not None else 0
         if not current:
-            return await self._renumbered(newest, era, "the store went back")
+            return await self._renumbered(newest, era, "store restored from an older copy")
         self._maps.adopt(newest)
         self._distribute(newest)
         return newest
@@ -120,13 +120,13 @@
         )  # fmt: skip
         self._revision = item.revision
         if known is not None:
-            return await self._renumbered(known, era, "restored")
+            return await self._renumbered(known, era, "unreadable entry replaced")
         restored = rebuild_map(next_number(era_start(era) + revision_count(item.revision), era))
         if restored is None:
             raise PlatformUnavailable(
                 f"{item.key} cannot be decoded, and no map is known"
             ) from error
-        await self.write(restored, "restored")
+        await self.write(restored, "unreadable entry replaced")
         return restored
 
     async def _renumbered(self, key_map: KeyMap, era: int, why: str) -> KeyMap:
@@ -151,9 +151,9 @@
         )
         if self._store.era != era:
             self._revision = 0
-            raise PlatformUnavailable(f"{self._key}: the store went back under the write")
+            raise PlatformUnavailable(f"{self._key}: the store was restored during the write")
         self._log.emit(
-            "key_map_written", service=planned.service, version=planned.version, why=why,
+            "key_map_written", service=planned.service, version=planned.version, reason=why,
             ranges=len(planned.ranges), targets=len(planned.targets), fence=planned.fence,
             revision=self._revision, era=era, unsettled=planned.unsettled,
         )  # fmt: skip
--- a/packages/daemon/src/pearward_daemon/mesh/key_maps.py
+++ b/packages/daemon/src/pearward_daemon/mesh/key_maps.py
@@ -87,7 +87,7 @@
                 return False
         self._log.emit(
             "key_map_change_refused", failure=True, key=message.key, held=held,
-            base=message.base, version=message.version, sender=sender, why=why,
+            base=message.base, version=message.version, sender=sender, reason=why,
         )  # fmt: skip
         return True
 
--- a/packages/daemon/src/pearward_daemon/mesh/key_planner.py
+++ b/packages/daemon/src/pearward_daemon/mesh/key_planner.py
@@ -249,7 +249,7 @@
             why = "moves" if planned is not None else "witnesses"
             if planned is None:
                 planned = self._next_era_map(key_map, service, now)
-                why = why if planned is None else "the era's keys"
+                why = why if planned is None else "era settled or fences renewed"
             planned = self._with_witnesses(planned or key_map, service, now)
             if planned.version == key_map.version and planned.witnesses != key_map.witnesses:
                 planned = replace(planned, version=key_map.version + 1)
@@ -393,7 +393,7 @@
         if surged:
             self._log.emit(
                 "load_surged", service=key_map.service, version=key_map.version,
-                asked=round(sum(row.rate for row in load.rates)),
+                requests_per_s=round(sum(row.rate for row in load.rates)),
             )  # fmt: skip
         if not unowned and not service.load.may_move(now):
             return None
@@ -406,8 +406,8 @@
         asked = rates_by_owner(key_map, load.rates)
         self._log.emit(
             "keys_moved", service=key_map.service, version=planned.version,
-            why="owners lost or leaving" if unowned else "uneven load", silent=sorted(silent),
-            unheard=len(unheard), asked_and_can={
+            reason="owners lost or leaving" if unowned else "uneven load", silent=sorted(silent),
+            unreported=len(unheard), load_and_capacity={
                 o.target: [round(asked.get(o.target, 0.0)), round(o.capacity)]
                 for o in owners
             },
--- a/packages/daemon/src/pearward_daemon/mesh/local_target.py
+++ b/packages/daemon/src/pearward_daemon/mesh/local_target.py
@@ -215,8 +215,8 @@
         ):
             self._log.emit(
                 "late_heartbeat_ignored", target=target_heartbeat.target,
-                sequence=target_heartbeat.sequence, present=self._grant_manager.target,
-                heard_s=round(now - self._incarnations.last, 3),
+                sequence=target_heartbeat.sequence, current_target=self._grant_manager.target,
+                last_heartbeat_age_s=round(now - self._incarnations.last, 3),
             )  # fmt: skip
             return succeed(HeartbeatResponse())
         self._incarnations.heard(now)
@@ -257,7 +257,7 @@
         """Mark the target as draining: it announced its end and sends no more heartbeats."""
         if self._info is None or leave.target != target_id(self._info.target):
             return
-        self._log.emit("target_leaves", target=self._info.target, how="without notice")
+        self._log.emit("target_leaves", target=self._info.target, how="termination announced")
         if self._leaving_since is None:
             self._leaving_since = boot_time()
         self._publish_state()
@@ -562,7 +562,9 @@
             return
         if not self._silent and now - self._incarnations.last > HEARTBEAT_TIMEOUT_S:
             self._log.emit(
-                "target_silent", target=info.target, heard_s=round(now - self._incarnations.last, 3)
+                "target_silent",
+                target=info.target,
+                last_heartbeat_age_s=round(now - self._incarnations.last, 3),
             )
             self._silent = True
             self._publish_state()
@@ -591,7 +593,7 @@
             return
         target = self._grant_manager.target
         self._record_end(target, "its port refuses")
-        self._log.emit("target_ended", target=target, shown_by="its port refuses")
+        self._log.emit("target_ended", target=target, evidence="its port refuses")
         self._leaving_since = None
         self._grant_manager.target_ended()
         self._reported_ended.append(target)
--- a/packages/daemon/src/pearward_daemon/mesh/member_feed.py
+++ b/packages/daemon/src/pearward_daemon/mesh/member_feed.py
@@ -172,7 +172,7 @@
             self._watchers.note_silent(watcher.instance, boot_time())
             self._log.emit(
                 "watcher_skipped", instance=watcher.instance, after=after,
-                why="no answer" if reply is None else "it does not follow the store",
+                reason="no reply" if reply is None else "it does not follow the store",
             )  # fmt: skip
             return None
         if not reply.known:
--- a/packages/daemon/src/pearward_daemon/mesh/routed_request.py
+++ b/packages/daemon/src/pearward_daemon/mesh/routed_request.py
@@ -494,7 +494,7 @@
         again = self._should_retry(outcome, reason, target)
         self._ingress.log.emit(
             "attempt_failed", failure=True, id=self._id, target=target, outcome=outcome.value,
-            reason=reason.value, detail=detail, again=again,
+            reason=reason.value, detail=detail, retried=again,
             left_ms=round((self._deadline - boot_time()) * MS_PER_S),
         )  # fmt: skip
         if not again:
--- a/packages/daemon/src/pearward_daemon/mesh/store_session.py
+++ b/packages/daemon/src/pearward_daemon/mesh/store_session.py
@@ -424,7 +424,7 @@
         crashes = self._crashes.store_restored()
         self._rollbacks += 1
         self._log.emit(
-            "store_restored", failure=True, era=self._era, before=before,
+            "store_restored", failure=True, era=self._era, previous_era=before,
             crashes_written=crashes,
         )  # fmt: skip
         # Read all again, as the store now holds older entries and lacks some.
--- a/packages/daemon/src/pearward_daemon/service_finder.py
+++ b/packages/daemon/src/pearward_daemon/service_finder.py
@@ -107,7 +107,9 @@
         elif service in self._pending_lookups:
             self._pending_lookups[service].append(result)
         elif not self._lookups.take(now):
-            eliot.log_message("pearward:service-lookup", service=service, found="not asked: rate")
+            eliot.log_message(
+                "pearward:service-lookup", service=service, found="not looked up: rate limit"
+            )
             result.callback(LookupResult.UNDETERMINED)
         else:
             self._pending_lookups[service] = [result]
--- a/packages/daemon/src/pearward_daemon/store_fallback.py
+++ b/packages/daemon/src/pearward_daemon/store_fallback.py
@@ -97,7 +97,7 @@
             eliot.log_message("pearward:release-write-conflict", key=self._key)
         except PlatformUnavailable as error:
             eliot.log_message(
-                "pearward:platform-call-failed", call="look at record", error=str(error)
+                "pearward:platform-call-failed", call="adopt stored record", error=str(error)
             )
         except InvalidRecord as error:
             eliot.log_message("pearward:invalid-record", key=self._key, error=str(error))
