--- a/features/coordinator_role.feature
+++ b/features/coordinator_role.feature
@@ -5,8 +5,8 @@
   frozen daemon resumes, the platform's store names it as the coordinator, but it plans from the
   record that it read before. In that record it is a member, every member reports and nothing has
   to change, so it writes nothing; and since it reads the record again only after a write of its
-  own, it stays outside the cell until something else changes. The symptoms are a "cell-belief" in
-  its log with an older version than the newest "record" in the other daemon's log, and a status
+  own, it stays outside the cell until something else changes. The symptoms are a "cell-view" in
+  its log with an older version than the newest "record-written" in the other daemon's log, and a status
   with the newest record_version and "no ownership lease".
 
   Scenario: A coordinator that was replaced for a time plans from the record written meanwhile
--- a/features/cut_off.feature
+++ b/features/cut_off.feature
@@ -6,7 +6,7 @@
   as two of that daemon's three witnesses, and writes that both are lost and that it owns all keys. It
   cannot serve them, since nobody renews its lease. The other two take the role back and undo the change,
   and this repeats every few seconds, so that the two sound daemons serve no request either. The log then
-  shows "coordinator-taken" at the daemon that is cut off, and a "record" in which it is the only active
+  shows "coordinator-role-taken" at the daemon that is cut off, and a "record-written" in which it is the only active
   member.
 
   Scenario: Keys are served by the other two for as long as one is cut off
--- a/features/cut_off_alone.feature
+++ b/features/cut_off_alone.feature
@@ -6,7 +6,7 @@
   One of them is cut off at that moment. The frozen ones are resumed, the record assigns its 128 shards of 256 to the three others,
   and these wait for its release, which only it can give, for as long as the cut lasts. The daemon that is
   cut off still reaches the store, knows the record and has released the shards, but must not report this
-  only to peers that it cannot reach. In the fault, the log shows a "record" in which it is retired with
+  only to peers that it cannot reach. In the fault, the log shows a "record-written" in which it is retired with
   itself as the only witness, and the statuses of the others show "shards are pending" and its incarnation
   in their "awaited_releases".
 
--- a/packages/daemon/src/pearward_daemon/coordinator_log.py
+++ b/packages/daemon/src/pearward_daemon/coordinator_log.py
@@ -24,12 +24,12 @@
         """Log a record that has taken effect, with the members that changed or were removed."""
         rows = _member_rows(record)
         eliot.log_message(
-            "pearward:record",
+            "pearward:record-written",
             cell=self._cell,
             version=record.version,
             members=len(rows),
             changed=[row for name, row in rows.items() if self._rows.get(name) != row],
-            gone=[name for name in self._rows if name not in rows],
+            removed=[name for name in self._rows if name not in rows],
         )
         self._rows = rows
 
@@ -39,13 +39,13 @@
         if belief == before:
             return
         eliot.log_message(
-            "pearward:cell-belief",
+            "pearward:cell-view",
             cell=self._cell,
             version=version,
             reporting=len(belief.reporting),
-            reports_again=[n for n in belief.reporting if n not in before.reporting],
-            reports_no_more=[n for n in before.reporting if n not in belief.reporting],
-            missed=list(belief.missed),
+            started_reporting=[n for n in belief.reporting if n not in before.reporting],
+            stopped_reporting=[n for n in before.reporting if n not in belief.reporting],
+            reported_silent=list(belief.missed),
             lost=list(belief.lost),
             ended=list(belief.ended),
             draining=list(belief.draining),
@@ -63,7 +63,7 @@
             "server": member.server,
             "state": member.state.value,
             "shards": owned[index],
-            "awaited_for": awaited[index],
+            "unreleased_shards": awaited[index],
             "witnesses": list(member.witnesses),
             "former_witnesses": list(member.former_witnesses),
         }
--- a/packages/daemon/src/pearward_daemon/mesh/local_target.py
+++ b/packages/daemon/src/pearward_daemon/mesh/local_target.py
@@ -215,8 +215,8 @@
         ):
             self._log.emit(
                 "late_heartbeat_ignored", target=target_heartbeat.target,
-                sequence=target_heartbeat.sequence, present=self._grant_manager.target,
-                heard_s=round(now - self._incarnations.last, 3),
+                sequence=target_heartbeat.sequence, current_target=self._grant_manager.target,
+                last_heartbeat_age_s=round(now - self._incarnations.last, 3),
             )  # fmt: skip
             return succeed(HeartbeatResponse())
         self._incarnations.heard(now)
@@ -257,7 +257,7 @@
         """Mark the target as draining: it announced its end and sends no more heartbeats."""
         if self._info is None or leave.target != target_id(self._info.target):
             return
-        self._log.emit("target_leaves", target=self._info.target, how="without notice")
+        self._log.emit("target_leaves", target=self._info.target, how="termination announced")
         if self._leaving_since is None:
             self._leaving_since = boot_time()
         self._publish_state()
@@ -279,7 +279,7 @@
         self._leaving_since = None
         self._slots.set_slots(target_heartbeat.slots)
         self._log.emit(
-            "target_began", target=target_heartbeat.target, former=former,
+            "target_first_heartbeat", target=target_heartbeat.target, former=former,
             slots=target_heartbeat.slots, sequence=target_heartbeat.sequence,
         )  # fmt: skip
 
@@ -402,7 +402,7 @@
         one; without this record the running target's own would then be rejected as late.
         """
         if addressed == self._grant_manager.target and self._incarnations.note_other_incarnation():
-            self._log.emit("other_target_there", failure=True, target=addressed)
+            self._log.emit("other_target_detected", failure=True, target=addressed)
 
     def _map_outdated(self) -> None:
         if self._listener is not None:
@@ -562,7 +562,9 @@
             return
         if not self._silent and now - self._incarnations.last > HEARTBEAT_TIMEOUT_S:
             self._log.emit(
-                "target_silent", target=info.target, heard_s=round(now - self._incarnations.last, 3)
+                "target_silent",
+                target=info.target,
+                last_heartbeat_age_s=round(now - self._incarnations.last, 3),
             )
             self._silent = True
             self._publish_state()
@@ -591,7 +593,7 @@
             return
         target = self._grant_manager.target
         self._record_end(target, "its port refuses")
-        self._log.emit("target_ended", target=target, shown_by="its port refuses")
+        self._log.emit("target_ended", target=target, evidence="its port refuses")
         self._leaving_since = None
         self._grant_manager.target_ended()
         self._reported_ended.append(target)
--- a/packages/daemon/src/pearward_daemon/service_finder.py
+++ b/packages/daemon/src/pearward_daemon/service_finder.py
@@ -83,7 +83,9 @@
             try:
                 keys = await self._platform.names(TABLE)
             except PlatformUnavailable as error:
-                eliot.log_message("pearward:platform", call="list services", error=str(error))
+                eliot.log_message(
+                    "pearward:platform-call-failed", call="list services", error=str(error)
+                )
                 await sleep(self._reactor, LIST_RETRY_S)
             else:
                 self._listed = tuple(key.removeprefix(TABLE) for key in keys)
@@ -105,7 +107,9 @@
         elif service in self._pending_lookups:
             self._pending_lookups[service].append(result)
         elif not self._lookups.take(now):
-            eliot.log_message("pearward:service-lookup", service=service, found="not asked: rate")
+            eliot.log_message(
+                "pearward:service-lookup", service=service, found="not looked up: rate limit"
+            )
             result.callback(LookupResult.UNDETERMINED)
         else:
             self._pending_lookups[service] = [result]
