--- a/features/size.feature
+++ b/features/size.feature
@@ -33,7 +33,7 @@
 
   Scenario: A full target is passed over while others were not asked
     Given a target with 2 slots whose requests run 0.3 s
-    When 3 requests come
+    When 3 requests arrive
     Then a request that may go elsewhere is refused, and one that may not waits
 
   Scenario: Where hardly a target has a free place nobody asks for one first, but for a few
--- a/features/steps/mesh_member_steps.py
+++ b/features/steps/mesh_member_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the members that a daemon knows."""
+"""Steps for the members that a daemon knows."""
 
 from random import Random
 from typing import Any
@@ -27,8 +27,8 @@
     context.directory.entries_read([_member("one"), _member("two")], NOW)
 
 
-@when('the entry of "{name}" goes')
-def entry_goes(context: Any, name: str) -> None:
+@when('the entry of "{name}" is removed')
+def entry_removed_from_store(context: Any, name: str) -> None:
     context.directory.entry_removed(name, NOW)
 
 
@@ -38,12 +38,12 @@
 
 
 @given("the store does not answer")
-def store_away(context: Any) -> None:
+def store_unavailable(context: Any) -> None:
     context.directory.store_answers(None)
 
 
 @when("the store answers again")
-def store_back(context: Any) -> None:
+def store_available(context: Any) -> None:
     context.directory.store_answers(NOW)
 
 
@@ -52,19 +52,19 @@
     context.directory.expire(NOW + seconds)
 
 
-@when('{seconds:d} s pass and "{name}" reports at last')
-def reports_at_last(context: Any, seconds: int, name: str) -> None:
+@when('{seconds:d} s pass and then "{name}" reports')
+def reports_after(context: Any, seconds: int, name: str) -> None:
     context.directory.note_alive(f"t-{name}", NOW + seconds)
     context.directory.expire(NOW + seconds)
 
 
-@when('the entry of "{name}" returns')
-def entry_returns(context: Any, name: str) -> None:
+@when('the entry of "{name}" is written again')
+def entry_written_again(context: Any, name: str) -> None:
     context.directory.entry_written(_member(name))
 
 
-@when('the daemon of "{name}" says that its target takes no new work')
-def says_draining(context: Any, name: str) -> None:
+@when('the daemon of "{name}" reports that its target takes no new work')
+def reported_as_draining(context: Any, name: str) -> None:
     context.directory.note_refused(f"t-{name}")
 
 
--- a/features/steps/mesh_store_steps.py
+++ b/features/steps/mesh_store_steps.py
@@ -1,4 +1,4 @@
-"""Steps of a daemon's dealings with the store, in virtual time and against a counted store."""
+"""Steps for how daemons follow the store, in virtual time and with a store that counts calls."""
 
 from collections.abc import Iterator
 from contextlib import ExitStack, contextmanager
@@ -38,7 +38,7 @@
 
 
 def _address(number: int) -> str:
-    """Return where a daemon is reached."""
+    """Return the address of a daemon."""
     return f"10.0.{number // 250}.{number % 250 + 1}:1"
 
 
@@ -50,24 +50,24 @@
 
 
 class ChangingStore:
-    """A store whose members' entries change all the time; it counts the calls for changes."""
+    """A store whose member entries change continually; counts the calls for changes."""
 
-    def __init__(self, clock: Clock, members: int, every_s: float) -> None:
+    def __init__(self, clock: Clock, members: int, change_interval_s: float) -> None:
         self._clock = clock
         self._members = members
-        self.every_s = every_s
-        self.waits = 0
-        self.silent_before = 0.0
-        """Calls that began before then get no answer."""
+        self.change_interval_s = change_interval_s
+        self.change_calls = 0
+        self.stalled_before = 0.0
+        """Calls that began before this time get no response."""
 
     @property
     def era(self) -> int:
-        """The store never goes back."""
+        """The store is never restored from an older copy."""
         return 0
 
     @property
     def _revision(self) -> int:
-        return 1 + int(self._clock.seconds() / self.every_s)
+        return 1 + int(self._clock.seconds() / self.change_interval_s)
 
     async def scan(self, prefix: str) -> Snapshot:
         """Return all members."""
@@ -76,13 +76,13 @@
 
     async def changes(self, prefix: str, after: int, wait_s: float) -> Changes:
         """Return the changes since *after*, once there is one."""
-        self.waits += 1
+        self.change_calls += 1
         began = self._clock.seconds()
         await sleep(self._clock, CALL_S)
-        while self._revision <= after or began < self.silent_before:
+        while self._revision <= after or began < self.stalled_before:
             await sleep(self._clock, STEP_S)
             if self._clock.seconds() - began > wait_s:
-                if began < self.silent_before:
+                if began < self.stalled_before:
                     raise PlatformUnavailable("no answer")
                 return Changes((), max(after, self._revision))
         rows = [_entry(r % self._members, r) for r in range(after + 1, self._revision + 1)]
@@ -93,7 +93,7 @@
         return Snapshot((), 0)
 
     async def operator_changes(self, after: int, wait_s: float) -> Changes:
-        """Return no change, after a while."""
+        """Return no change, after *wait_s*."""
         await sleep(self._clock, wait_s)
         return Changes((), after)
 
@@ -107,7 +107,7 @@
 
 
 class _Follower:
-    """One daemon's members, and its ways to the store and to the other daemons."""
+    """One daemon's members, its store session and its messages to the other daemons."""
 
     def __init__(self, fleet: "_Fleet", number: int) -> None:
         self.peer = PeerId(f"life-{number}", _address(number))
@@ -129,7 +129,7 @@
             fleet.clock, settings, fleet.store, log, cast("SessionListener", self), self.feed
         )
 
-    def take(self, sender: PeerId, message: ControlMessage) -> None:
+    def receive(self, sender: PeerId, message: ControlMessage) -> None:
         """Take another daemon's message."""
         if isinstance(message, AskChanges):
             self.feed.query_received(sender, message)
@@ -153,21 +153,21 @@
 class _Fleet:
     """Daemons that follow the members, in one process and in virtual time."""
 
-    def __init__(self, members: int, every_s: float) -> None:
+    def __init__(self, members: int, change_interval_s: float) -> None:
         self.clock = Clock()
-        self.store = ChangingStore(self.clock, members, every_s)
+        self.store = ChangingStore(self.clock, members, change_interval_s)
         self.followers = [_Follower(self, number) for number in range(members)]
         self._by_address = {each.peer.address: each for each in self.followers}
         self.lost: set[str] = set()
 
     def deliver(self, sender: PeerId, address: str, message: ControlMessage) -> None:
-        """Carry a message; those of lost daemons go nowhere."""
+        """Deliver a message; messages from and to lost daemons are dropped."""
         if address not in self.lost and sender.address not in self.lost:
             receiver = self._by_address[address]
-            self.clock.callLater(LINK_S, receiver.take, sender, message)
+            self.clock.callLater(LINK_S, receiver.receive, sender, message)
 
-    def play(self, seconds: float) -> None:
-        """Let time pass."""
+    def run(self, seconds: float) -> None:
+        """Advance the time and run the daemons' ticks."""
         for _ in range(round(seconds / STEP_S)):
             self.clock.advance(STEP_S)
             for follower in self.followers:
@@ -176,7 +176,7 @@
 
 @contextmanager
 def _virtual_time(fleet: _Fleet) -> Iterator[None]:
-    """Let the daemons read the time of the fleet's clock."""
+    """Make the daemons read the time of the fleet's clock."""
     with ExitStack() as stack:
         for module in (drain_control, member_feed, store_session):
             stack.enter_context(mock.patch.object(module, "boot_time", fleet.clock.seconds))
@@ -193,7 +193,7 @@
     with _virtual_time(context.fleet):
         for follower in context.fleet.followers:
             follower.session.start()
-        context.fleet.play(seconds)
+        context.fleet.run(seconds)
 
 
 @when("the watchers are lost and {seconds:d} s pass")
@@ -206,14 +206,15 @@
     context.before = [f.written for f in fleet.followers]
     context.lost_at = fleet.clock.seconds()
     with _virtual_time(fleet):
-        fleet.play(seconds)
+        fleet.run(seconds)
 
 
-@then("all have made at most {most:d} calls for changes, and missed none older than {late:g} s")
-def few_calls(context: Any, most: int, late: float) -> None:
+@then("all daemons together have made at most {most:d} calls for changes, and missed none "
+      "older than {late:g} s")  # fmt: skip
+def few_change_calls(context: Any, most: int, late: float) -> None:
     fleet = context.fleet
-    assert 0 < fleet.store.waits <= most, fleet.store.waits
-    changes = int((fleet.clock.seconds() - late) / fleet.store.every_s)
+    assert 0 < fleet.store.change_calls <= most, fleet.store.change_calls
+    changes = int((fleet.clock.seconds() - late) / fleet.store.change_interval_s)
     behind = [f.written for f in fleet.followers if f.written < changes - 1]
     assert not behind, (changes, behind)
 
@@ -223,20 +224,20 @@
     assert all(f.reads <= most for f in context.fleet.followers)
 
 
-@when("all connections to the store go silent while new ones work, and {seconds:d} s pass")
-def silent_connections(context: Any, seconds: int) -> None:
+@when("all connections to the store stall while new ones work, and {seconds:d} s pass")
+def connections_stall(context: Any, seconds: int) -> None:
     fleet = context.fleet
     with _virtual_time(fleet):
-        # Until the watchers wait for changes again, and do not just let them add up.
-        fleet.play(0.4)
-        fleet.store.silent_before = fleet.clock.seconds()
-        fleet.play(seconds)
+        # By then the watchers wait for changes again and are not in the pause that batches them.
+        fleet.run(0.4)
+        fleet.store.stalled_before = fleet.clock.seconds()
+        fleet.run(seconds)
 
 
 @then("none of them has missed a change older than {late:g} s")
 @then("none of the others has missed a change older than {late:g} s")
 def none_missed(context: Any, late: float) -> None:
     fleet = context.fleet
-    changes = int((fleet.clock.seconds() - late) / fleet.store.every_s)
+    changes = int((fleet.clock.seconds() - late) / fleet.store.change_interval_s)
     behind = [f.written for f in fleet.followers if f.written < changes - 1]
     assert not behind, (changes, behind)
--- a/features/steps/mesh_target_steps.py
+++ b/features/steps/mesh_target_steps.py
@@ -1,4 +1,4 @@
-"""Steps of what a target runs and which target is chosen: slots, choice, attempts, budget."""
+"""Steps for the slots of a target, the choice of a target, attempts and the retry budget."""
 
 from random import Random
 from typing import Any
@@ -40,14 +40,14 @@
         queue.finish(ticket, NOW, measured=True)
 
 
-@when("{count:d} requests come")
-@when("{count:d} more requests with an objective of {objective:g} s come")
-def requests_come(context: Any, count: int, objective: float = 0.6) -> None:
+@when("{count:d} requests arrive")
+@when("{count:d} more requests with an objective of {objective:g} s arrive")
+def requests_arrive(context: Any, count: int, objective: float = 0.6) -> None:
     context.offered = [context.queue.offer(_ticket(NOW, objective), NOW) for _ in range(count)]
 
 
-@when("{seconds:g} s pass in which none of them ends")
-def time_passes(context: Any, seconds: float) -> None:
+@when("{seconds:g} s pass and none of them ends")
+def none_ends(context: Any, seconds: float) -> None:
     context.now = NOW + seconds
 
 
@@ -61,7 +61,7 @@
     assert context.offered == [False, False]
 
 
-@then("the last is refused, to come back after {low:g} to {high:g} s")
+@then("the last is refused with a retry delay of {low:g} to {high:g} s")
 def last_refused(context: Any, low: float, high: float) -> None:
     last = context.offered[-1]
     assert isinstance(last, Refused)
@@ -84,14 +84,14 @@
 
 
 @then("the one of rank 1 starts next")
-def rank_first(context: Any) -> None:
+def most_urgent_starts_next(context: Any) -> None:
     context.queue.finish(context.running, NOW + 0.1, measured=True)
     started, late = context.queue.next_starts(NOW + 0.1)
     assert (started, late) == ([context.waiting[1]], [])
 
 
-@when("8 requests for one key and then one of a less urgent rank for another key come")
-def hot_and_other(context: Any) -> None:
+@when("8 requests for one key arrive and then one of a less urgent rank for another key")
+def requests_for_two_keys(context: Any) -> None:
     hot = [_ticket(NOW, objective_s=2.0, rank=1) for _ in range(8)]
     for ticket in hot:
         ticket.key = 14_139
@@ -102,14 +102,14 @@
 
 
 @then("the one for the other key starts next")
-def other_first(context: Any) -> None:
+def other_key_starts_next(context: Any) -> None:
     context.queue.finish(context.started.pop(0), NOW + 0.1, measured=True)
     started, _ = context.queue.next_starts(NOW + 0.1)
     assert started == [context.other], started
 
 
-@then("requests for the hot key have every slot that nobody else wants")
-def hot_has_rest(context: Any) -> None:
+@then("requests for the hot key get every slot that no other request needs")
+def hot_key_gets_idle_slots(context: Any) -> None:
     assert len(context.started) == 3
     context.queue.finish(context.other, NOW + 0.2, measured=True)
     started, _ = context.queue.next_starts(NOW + 0.2)
@@ -124,14 +124,14 @@
     assert context.queue.offer(context.waiting[0], NOW) is False
 
 
-@then("that one is given up when the slot is free")
-def given_up(context: Any) -> None:
+@then("the waiting one is dropped when the slot becomes free")
+def dropped_as_late(context: Any) -> None:
     context.queue.finish(context.running, NOW + 0.4, measured=True)
     started, late = context.queue.next_starts(NOW + 0.4)
     assert (started, late) == ([], context.waiting)
 
 
-# -- choice ----------------------------------------------------------------------------------
+# -- choice of a target ----------------------------------------------------------------------
 
 
 def _share_of_first(candidates: list[Candidate], now: float = NOW) -> float:
@@ -145,12 +145,12 @@
 
 
 @given("targets that run a request in {slow:g} s and in {fast:g} s")
-def speeds(context: Any, slow: float, fast: float) -> None:
+def targets_of_two_speeds(context: Any, slow: float, fast: float) -> None:
     context.candidates = [Candidate("a", True, _view(slow)), Candidate("b", True, _view(fast))]
 
 
 @given("two equal targets of which the first has {taken:d} of {slots:d} slots taken")
-def crowded(context: Any, taken: int, slots: int) -> None:
+def loaded_target(context: Any, taken: int, slots: int) -> None:
     context.candidates = [
         Candidate("a", True, _view(running=taken)),
         Candidate("b", True, _view()),
@@ -170,15 +170,15 @@
     context.candidates = [Candidate("a", True, _view()), Candidate("b", False, _view())]
 
 
-@given("a near target behind a link that needs {near:g} s for a long answer, "
-       "and a far one whose link needs {far:g} s")  # fmt: skip
+@given("a near target behind a link that needs {near:g} s for a long response, and a far "
+       "one whose link needs {far:g} s")  # fmt: skip
 def near_and_far_links(context: Any, near: float, far: float) -> None:
     views = [LoadView(TargetLoad(0, 0, 12, 0.2, link_s), reported_at=NOW) for link_s in (near, far)]
     context.candidates = [Candidate("a", True, views[0]), Candidate("b", False, views[1])]
 
 
 @then("a request of {kilobytes:d} kB goes to the {which} one")
-def long_goes_to(context: Any, kilobytes: int, which: str) -> None:
+def long_response_goes_to(context: Any, kilobytes: int, which: str) -> None:
     asked = ExchangeProfile(kilobytes, long_response=True)
     rng = Random(7)
     chosen = [choose_target(context.candidates, NOW, rng, asked) for _ in range(400)]
@@ -201,39 +201,39 @@
     assert _share_of_first(context.candidates) > 0.6
 
 
-@given('a route that goes to "{first}" by {one:d} and to "{second}" by {other:d}')
+@given('a route to "{first}" with weight {one:d} and to "{second}" with weight {other:d}')
 def weighted(context: Any, first: str, one: int, second: str, other: int) -> None:
     parts = [WeightedService(first, one), WeightedService(second, other)]
-    context.turns = WeightedRoundRobin(parts, Random(3))
+    context.round_robin = WeightedRoundRobin(parts, Random(3))
 
 
-@when("{count:d} requests take it")
-def take_route(context: Any, count: int) -> None:
-    context.chosen = [context.turns.next() for _ in range(count)]
+@when("{count:d} requests use the route")
+def requests_use_route(context: Any, count: int) -> None:
+    context.chosen = [context.round_robin.next() for _ in range(count)]
 
 
-@then('"{service}" gets {count:d} of them, give or take {slack:d}')
-def gets(context: Any, service: str, count: int, slack: int) -> None:
+@then('"{service}" gets {count:d} of them, plus or minus {slack:d}')
+def gets_share(context: Any, service: str, count: int, slack: int) -> None:
     assert abs(context.chosen.count(service) - count) <= slack, context.chosen.count(service)
 
 
-@given("two targets of a service, the first half as slow as the other, "
-       "both behind {rate:g} Mbit/s")  # fmt: skip
+@given("two targets of a service, the first twice as fast as the other, each behind a link "
+       "of {rate:g} Mbit/s")  # fmt: skip
 def behind_links(context: Any, rate: float) -> None:
     context.links = [LinkQueue(rate), LinkQueue(rate)]
     context.service_s = [0.1, 0.2]
 
 
-@when("the first has just got {size:d} bytes of long answers to send")
-def got_bytes(context: Any, size: int) -> None:
+@when("the first has just received {size:d} bytes of long responses to send")
+def long_responses_queued(context: Any, size: int) -> None:
     for _ in range(10):
         ticket = context.links[0].join(NOW + 1.0, size // 10, NOW)
         ticket.unsent = size // 10
         ticket.ended = True
 
 
-def _hand_over(link: LinkQueue, until: float) -> None:
-    """Let a link's answers have their turns until a time."""
+def _send_until(link: LinkQueue, until: float) -> None:
+    """Send a link's responses in chunks until a time."""
     now = NOW
     while now < until:
         ticket = link.next(now)
@@ -259,23 +259,24 @@
     return chosen.target
 
 
-@then("a long request goes to the second, and to the first again {seconds:g} s later")
-def second_chosen(context: Any, seconds: float) -> None:
+@then("a request with a long response goes to the second target, and to the first again "
+      "{seconds:g} s later")  # fmt: skip
+def long_response_from_second(context: Any, seconds: float) -> None:
     assert _chosen_at(context, NOW) == "t1"
-    _hand_over(context.links[0], NOW + seconds)
+    _send_until(context.links[0], NOW + seconds)
     for _ in range(30):
-        # Single answers go on: the mean wait forgets the crowd.
+        # Further single responses bring the moving mean of the wait down again.
         context.links[0].leave(context.links[0].join(NOW + seconds, 60_000, NOW + seconds))
     assert _chosen_at(context, NOW + seconds) == "t0"
 
 
-@then("a short request goes to the first")
-def short_to_first(context: Any) -> None:
+@then("a request with a short response goes to the first target")
+def short_response_from_first(context: Any) -> None:
     assert _chosen_at(context, NOW, long_response=False) == "t0"
 
 
-@then("a long request goes to the first")
-def first_chosen(context: Any) -> None:
+@then("a request with a long response goes to the first target")
+def long_response_from_first(context: Any) -> None:
     assert _chosen_at(context, NOW) == "t0"
 
 
@@ -288,8 +289,8 @@
     context.plan = AttemptPlan(times, kind == "safe", service == "keyed", 2)
 
 
-@given("its body is being passed on")
-def passed_on(context: Any) -> None:
+@given("its body is already being forwarded")
+def body_forwarded(context: Any) -> None:
     context.plan.body_consumed = True
 
 
@@ -319,26 +320,26 @@
     assert context.step is NextStep(step), context.step
 
 
-# -- budget ----------------------------------------------------------------------------------
+# -- retry budget ----------------------------------------------------------------------------
 
 
-@given("a budget of {ratio:g} of the requests and {allowance:g} more within {window:g} s, "
-       "for {daemons:d} daemons")  # fmt: skip
-def budget(context: Any, ratio: float, allowance: float, window: float, daemons: int) -> None:
+@given("a retry budget of {ratio:g} of the requests and {allowance:g} more within "
+       "{window:g} s, for {daemons:d} daemons")  # fmt: skip
+def retry_budget(context: Any, ratio: float, allowance: float, window: float, daemons: int) -> None:
     rule = RetryRule(ratio, allowance, window)
     context.windows = [RetryWindow(rule) for _ in range(daemons)]
 
 
-@when("each daemon takes {count:d} requests and asks for as many repeats")
-def ask_repeats(context: Any, count: int) -> None:
-    context.given = 0
+@when("each daemon receives {count:d} requests and asks for as many retries")
+def ask_for_retries(context: Any, count: int) -> None:
+    context.allowed = 0
     for window in context.windows:
         for number in range(count):
             window.request(NOW + number * 0.05)
         for number in range(count):
-            context.given += window.take(NOW + number * 0.05, len(context.windows))
+            context.allowed += window.take(NOW + number * 0.05, len(context.windows))
 
 
-@then("no more than {most:d} repeats are given in all")
-def repeats_bounded(context: Any, most: int) -> None:
-    assert 50 < context.given <= most, context.given
+@then("no more than {most:d} retries are allowed in all")
+def retries_bounded(context: Any, most: int) -> None:
+    assert 50 < context.allowed <= most, context.allowed
