--- a/features/steps/key_map_change_steps.py
+++ b/features/steps/key_map_change_steps.py
@@ -1,4 +1,4 @@
-"""Steps for key maps that travel as changes."""
+"""Steps for key maps that are sent as changes."""
 
 from dataclasses import replace
 from random import Random
@@ -80,13 +80,13 @@
     assert isinstance(context.message, PushChange)
 
 
-@when("the one who wrote it tells a daemon that holds the former one")
-def tells(context: Any) -> None:
-    context.whole_wanted = context.reader.apply_change(context.message, "n1:1")
+@when("its writer sends it to a daemon that holds the former map")
+def send_change(context: Any) -> None:
+    context.full_map_wanted = context.reader.apply_change(context.message, "n1:1")
 
 
-@when("the one who wrote it tells a daemon that holds the former one, but {fault}")
-def tells_badly(context: Any, fault: str) -> None:
+@when("its writer sends it to a daemon that holds the former map, but {fault}")
+def send_faulty_change(context: Any, fault: str) -> None:
     message = context.message
     if fault == "the daemon lacks the base":
         context.reader, context.held = KeyMaps(context.log), None
@@ -104,38 +104,38 @@
             ranges = (replace(change.ranges[0], owner="i-other"), *change.ranges[1:])
         value = deflate(encode_key_map_change(replace(change, ranges=ranges)))
         message = replace(message, value=value)
-    context.whole_wanted = context.reader.apply_change(message, "n1:1")
+    context.full_map_wanted = context.reader.apply_change(message, "n1:1")
 
 
-@then("that daemon has the next one, and got less than a tenth of the whole map's bytes")
+@then("that daemon has the next map, and received less than a tenth of the full map's bytes")
 def has_next(context: Any) -> None:
-    assert not context.whole_wanted
+    assert not context.full_map_wanted
     assert context.reader.of("roster") == context.next
-    whole = context.writer.message("roster", 0)
-    assert isinstance(whole, Push)
-    assert len(context.message.value) * 10 < len(whole.value), len(context.message.value)
+    full_map = context.writer.message("roster", 0)
+    assert isinstance(full_map, Push)
+    assert len(context.message.value) * 10 < len(full_map.value), len(context.message.value)
 
 
-@then("that daemon keeps what it had, logs versions, sender and reason, and asks for the whole map")
-def keeps(context: Any) -> None:
-    assert context.whole_wanted
+@then("that daemon keeps its map, logs versions, sender and reason, and asks for the full map")
+def keeps_map(context: Any) -> None:
+    assert context.full_map_wanted
     assert context.reader.of("roster") == context.held
     (call,) = context.log.emit.call_args_list
     assert call.args == ("key_map_change_refused",)
-    told = call.kwargs
-    assert (told["base"], told["version"], told["sender"]) == (21, 22, "n1:1")
-    assert told["held"] == (context.held.version if context.held else 0)
-    assert told["why"]
+    logged = call.kwargs
+    assert (logged["base"], logged["version"], logged["sender"]) == (21, 22, "n1:1")
+    assert logged["held"] == (context.held.version if context.held else 0)
+    assert logged["why"]
 
 
-@then("the whole map brings it to the next version")
-def whole_map(context: Any) -> None:
+@then("the full map brings it to the next version")
+def apply_full_map(context: Any) -> None:
     context.reader.take(context.writer.message("roster", 0))
     assert context.reader.of("roster") == context.next
 
 
-@then("{count:d} random maps and their random successors differ by changes that lead from one to "
-      "the other")  # fmt: skip
+@then("for {count:d} random maps and random successors, applying the change from one to "
+      "the other gives the other")  # fmt: skip
 def random_changes(context: Any, count: int) -> None:
     rng = Random(11)
     for _ in range(count):
--- a/features/steps/size_steps.py
+++ b/features/steps/size_steps.py
@@ -1,4 +1,4 @@
-"""Steps for what must stay flat as the fleet grows."""
+"""Steps for costs that must not grow with the size of the fleet."""
 
 import sys
 from math import exp
@@ -29,16 +29,16 @@
     context.keys = keys
     context.loads = KeyLoadTable()
     context.loads.add((KeyCount(key, key, 9) for key in range(keys)), NOW)
-    context.faded = dict.fromkeys(range(keys), 9.0)
+    context.decayed = dict.fromkeys(range(keys), 9.0)
 
 
-def _steps_of(call: Any) -> int:
-    """Return the lines that are run by a call, in all functions that it enters."""
-    steps = 0
+def _count_lines(call: Any) -> int:
+    """Return the number of lines executed by a call, including the functions that it calls."""
+    lines = 0
 
     def trace(frame: FrameType, event: str, arg: object) -> Any:
-        nonlocal steps
-        steps += event == "line"
+        nonlocal lines
+        lines += event == "line"
         return trace
 
     before = sys.gettrace()
@@ -47,18 +47,18 @@
         call()
     finally:
         sys.settrace(before)
-    return steps
+    return lines
 
 
 @when("an owner reports {rows:d} rows to it")
 def report_rows(context: Any, rows: int) -> None:
     counts = [KeyCount(key, key, 1) for key in range(rows)]
-    context.steps = _steps_of(lambda: context.loads.add(counts, NOW + 0.1))
+    context.executed_lines = _count_lines(lambda: context.loads.add(counts, NOW + 0.1))
 
 
-@then("the table takes at most {most:d} steps for that")
-def few_steps(context: Any, most: int) -> None:
-    assert context.steps <= most, context.steps
+@then("the table executes at most {most:d} lines of code for that")
+def few_lines(context: Any, most: int) -> None:
+    assert context.executed_lines <= most, context.executed_lines
 
 
 @when("owners report at random for {seconds:d} s, with pauses of up to {pause:d} s")
@@ -70,23 +70,23 @@
         if rng.random() < 0.01:
             passed = rng.random() * pause
         context.now += passed
-        context.faded = {k: w * exp(-passed / WINDOW_S) for k, w in context.faded.items()}
-        if sum(context.faded.values()) < 5.0:
-            context.faded = dict.fromkeys(context.faded, 0.0)
+        context.decayed = {k: w * exp(-passed / WINDOW_S) for k, w in context.decayed.items()}
+        if sum(context.decayed.values()) < 5.0:
+            context.decayed = dict.fromkeys(context.decayed, 0.0)
         key, count = rng.randrange(context.keys), rng.randrange(1, 9)
         context.loads.add((KeyCount(key, key, count),), context.now)
-        context.faded[key] += count
+        context.decayed[key] += count
 
 
-@then("each key's rate is what its faded counts give")
-def same_rates(context: Any) -> None:
+@then("each key's rate equals the rate given by its decayed counts")
+def rates_equal(context: Any) -> None:
     observed_s = context.loads.observed_s(context.now)
     rates = {row.key: row.rate * observed_s for row in context.loads.rates(context.now)}
-    for key, weight in context.faded.items():
-        told = rates.get(key, 0.0)
-        assert abs(told - weight) < 0.021, (key, told, weight)
+    for key, weight in context.decayed.items():
+        measured = rates.get(key, 0.0)
+        assert abs(measured - weight) < 0.021, (key, measured, weight)
     total = context.loads.rate(context.now) * observed_s
-    assert abs(total - sum(context.faded.values())) < 1e-6 * total + 1.1, total
+    assert abs(total - sum(context.decayed.values())) < 1e-6 * total + 1.1, total
 
 
 # -- placement --------------------------------------------------------------------------------
@@ -113,7 +113,7 @@
 
 
 @given("all but {left:d} of them are draining or cannot be reached")
-def few_left(context: Any, left: int) -> None:
+def few_available(context: Any, left: int) -> None:
     for number in range(75 - left):
         if number % 2:
             context.directory.note_refused(f"t{number}")
@@ -121,8 +121,8 @@
             context.directory.note_unreachable(f"t{number}", NOW)
 
 
-@when("it looks {times:d} times for a target")
-def looks(context: Any, times: int) -> None:
+@when("it draws candidates {times:d} times")
+def draw_candidates(context: Any, times: int) -> None:
     rng = Random(5)
     context.drawn = [
         context.directory.candidates("s", NOW, 0.0, frozenset(), rng) for _ in range(times)
@@ -168,14 +168,14 @@
 
 
 @then("no target gets more than {times:d} times its share, and the fast third more than half")
-def no_herd(context: Any, times: int) -> None:
+def load_spread(context: Any, times: int) -> None:
     total = sum(context.sent.values())
     assert max(context.sent.values()) <= times * total / 75, max(context.sent.values())
     assert sum(context.sent.get(f"t{number}", 0) for number in range(0, 75, 3)) > total / 2
 
 
 @then("a request that may go elsewhere is refused, and one that may not waits")
-def passed_over(context: Any) -> None:
+def refused_or_queued(context: Any) -> None:
     def ticket(*, idle_only: bool) -> SlotTicket:
         return SlotTicket(2, 103.0, 101.5, 100.0, idle_only=idle_only)
 
@@ -183,8 +183,8 @@
     assert context.queue.offer(ticket(idle_only=False), 100.0) is False
 
 
-@given("a request that two targets had no free slot for")
-def two_full(context: Any) -> None:
+@given("a request that two targets refused for lack of a free slot")
+def two_refused(context: Any) -> None:
     context.plan = AttemptPlan(RequestTimes(NOW, NOW + 1.5, NOW + 3.0), False, False, 2)
     for target in ("t1", "t2"):
         step = context.plan.after_failure(Outcome.NOT_RUN, Reason.OVERLOADED, target, NOW)
@@ -192,31 +192,31 @@
 
 
 @then("the next target may be one of these two")
-def may_be_asked_again(context: Any) -> None:
+def may_be_retried(context: Any) -> None:
     assert context.plan.is_last_slot_request
     assert not context.plan.excluded
     assert context.plan.full_targets == {"t1", "t2"}
 
 
-@then("when that one has no room either the request is refused")
-def refused_at_last(context: Any) -> None:
+@then("when that target has no free slot either, the request is given up")
+def given_up(context: Any) -> None:
     step = context.plan.after_failure(Outcome.NOT_RUN, Reason.OVERLOADED, "t2", NOW)
     assert step is NextStep.GIVE_UP
 
 
-@given("a service of whose targets 9 in 10 have a queue")
-def rush(context: Any) -> None:
+@given("a service in which 9 of 10 targets have a queue")
+def few_free_slots(context: Any) -> None:
     context.odds = FreeSlotOdds()
     context.rng = Random(4)
 
 
 @when("{count:d} requests look for a target")
 def requests_look(context: Any, count: int) -> None:
-    context.asked = _asking(context, count, free=0.1)
+    context.asked = _count_probes(context, count, free=0.1)
 
 
-def _asking(context: Any, count: int, free: float) -> int:
-    """Let requests look for a target; return how many ask for a place without a queue."""
+def _count_probes(context: Any, count: int, free: float) -> int:
+    """Let requests look for a target; return how many of them probe for a free slot."""
     asked = 0
     for _ in range(count):
         if context.odds.should_probe():
@@ -225,27 +225,28 @@
     return asked
 
 
-@then("fewer than {most:d} of them ask for a place without a queue")
-def few_ask(context: Any, most: int) -> None:
+@then("fewer than {most:d} of them probe for a free slot")
+def few_probe(context: Any, most: int) -> None:
     assert context.asked < most, context.asked
 
 
-@then("when the rush is over, all of the next {count:d} but {skipped:d} ask for one")
-def ask_again(context: Any, count: int, skipped: int) -> None:
-    assert _asking(context, count, free=1.0) >= count - skipped
+@then("once every target has a free slot, of the next {count:d} requests all but at most "
+      "{skipped:d} probe for one")  # fmt: skip
+def probe_again(context: Any, count: int, skipped: int) -> None:
+    assert _count_probes(context, count, free=1.0) >= count - skipped
 
 
 # -- planning ----------------------------------------------------------------------------------
 
 
-@given("{owners:d} owners whose keys are asked for {rate:d} times a second in all, by chance")
-def owners_by_chance(context: Any, owners: int, rate: int) -> None:
+@given("{owners:d} owners whose keys get {rate:d} requests a second in all, at random")
+def random_load(context: Any, owners: int, rate: int) -> None:
     context.owners = [KeyOwner(f"t{number}", rate / owners / 0.7) for number in range(owners)]
     context.key_map = first_map("roster", context.owners)
     context.rates = {(0, KEY_SPACE - 1): float(rate)}
 
 
-@given("the first of them is asked for {rate:d} a second more")
+@given("the first of them gets {rate:d} requests a second more")
 def first_has_more(context: Any, rate: int) -> None:
     first = context.key_map.ranges[0]
     context.rates[(first.first, first.last)] = float(rate)
@@ -274,8 +275,8 @@
             context.key_map = moved
 
 
-def _true_rates(context: Any) -> dict[str, float]:
-    """Return what each owner is asked for, without chance."""
+def _expected_rates(context: Any) -> dict[str, float]:
+    """Return each owner's expected request rate, without random variation."""
     found: dict[str, float] = {}
     for (first, last), rate in context.rates.items():
         for r in context.key_map.ranges:
@@ -288,11 +289,11 @@
 @then("the map has fewer than {most:d} ranges, and no owner has {times:g} times its share")
 def few_ranges(context: Any, most: int, times: float) -> None:
     assert len(context.key_map.ranges) < most, len(context.key_map.ranges)
-    even(context, times)
+    load_balanced(context, times)
 
 
 @then("no owner has {times:g} times its share")
-def even(context: Any, times: float) -> None:
-    rates = _true_rates(context)
+def load_balanced(context: Any, times: float) -> None:
+    rates = _expected_rates(context)
     share = sum(rates.values()) / len(context.owners)
     assert max(rates.values()) < times * share, max(rates.values()) / share
