--- a/features/steps/mesh_store_steps.py
+++ b/features/steps/mesh_store_steps.py
@@ -83,7 +83,7 @@
             await sleep(self._clock, STEP_S)
             if self._clock.seconds() - began > wait_s:
                 if began < self.stalled_before:
-                    raise PlatformUnavailable("no answer")
+                    raise PlatformUnavailable("no response")
                 return Changes((), max(after, self._revision))
         rows = [_entry(r % self._members, r) for r in range(after + 1, self._revision + 1)]
         return Changes(tuple(WatchEvent(r.key, r.value, r.revision) for r in rows), self._revision)
