--- a/tests/fuzz/mesh_store.py
+++ b/tests/fuzz/mesh_store.py
@@ -1,4 +1,4 @@
-"""The store of the simulated platform, and one daemon's way to it, with faults."""
+"""The store of the simulated platform, and one daemon's client of it, with faults."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 
 class FakeStore:
-    """The store itself: revisions, leases, transactions; it may return from an older copy."""
+    """The store itself: revisions, leases, transactions; it may be restored from an older copy."""
 
     def __init__(self, world: World) -> None:
         self._world = world
@@ -58,7 +58,7 @@
         self._next_lease = FIRST_LEASE
         self.calls = 0
         self.era = 0
-        """How often the store has come back from an older copy."""
+        """Number of times that the store was restored from an older copy."""
         self._copies: SnapshotHistory[_Copy] = SnapshotHistory()
 
     def copy(self) -> _Copy:
@@ -68,17 +68,17 @@
         return StoreSnapshot(dict(self.items), leases, self.revision, self._next_lease, history)
 
     def keep_copy(self) -> None:
-        """Keep a copy from time to time, as a platform does."""
+        """Keep a copy at intervals, as a platform does."""
         self._copies.take_if_due(self._world.now, self.copy)
 
     def copy_of(self, at: float) -> _Copy:
-        """Return the newest copy that was kept by a time, or the oldest that there is."""
+        """Return the newest copy that was taken by a time, or the oldest one if there is none."""
         return self._copies.newest_by(at)
 
     def go_back(self, copy: _Copy) -> None:
-        """Come back from a copy: what was written since is gone, and numbers are given again.
+        """Restore a copy: later writes are lost, and revisions and lease ids are used again.
 
-        What operators wrote is written again; a lease of the copy begins its time anew.
+        The entries of operators are written again; the leases of the copy start a full term anew.
         """
         operators = [item for key, item in self.items.items() if key.startswith(DRAINS)]
         self.era += 1
@@ -93,13 +93,13 @@
             self.put(Put(item.key, item.value))
 
     def expire(self) -> None:
-        """Let leases run out."""
+        """End the leases that have expired."""
         for lease, (_, until) in list(self.leases.items()):
             if until <= self._world.now:
-                self.end(lease)
+                self.end_lease(lease)
 
-    def end(self, lease: int) -> None:
-        """End a lease; its keys go."""
+    def end_lease(self, lease: int) -> None:
+        """End a lease and remove its keys."""
         self.leases.pop(lease, None)
         for key, item in list(self.items.items()):
             if item.lease == lease:
@@ -118,7 +118,7 @@
         self.history.append(WatchEvent(put.key, put.value, self.revision))
 
     def commit(self, expected: list[Expectation], puts: list[Put]) -> int:
-        """Do a transaction; raises CasConflict or LeaseNotFound."""
+        """Commit a transaction; raises CasConflict or LeaseNotFound."""
         for e in expected:
             found = self.items.get(e.key)
             if (found.revision if found is not None else 0) != e.revision:
@@ -137,7 +137,7 @@
         self.leases[self._next_lease] = (ttl_s, self._world.now + ttl_s)
         return self._next_lease
 
-    def keep(self, lease: int) -> bool:
+    def renew(self, lease: int) -> bool:
         """Renew a lease."""
         if lease not in self.leases:
             return False
@@ -147,7 +147,7 @@
 
 
 class StoreClient:
-    """One daemon's way to the store; implements the product's port."""
+    """One daemon's client of the store; implements the product's interface FleetStore."""
 
     def __init__(self, world: World, node: Node, clock: Clock) -> None:
         self._world = world
@@ -159,24 +159,26 @@
     def era(self) -> int:
         return self._era
 
-    def _answered(self, era: int, answer: Callable[[Any], None], result: Any) -> None:
-        """Hand an answer on, which names the era of the store that gave it."""
+    def _deliver(self, era: int, receive: Callable[[Any], None], result: Any) -> None:
+        """Deliver a response, and note the era of the store that sent it."""
         self._era = max(self._era, era)
-        answer(result)
+        receive(result)
 
     def _call(self, work: Callable[[], Any], *, writes: bool = False) -> Deferred[Any]:
-        """Run *work* at the store after a while, unless the call or its answer gets lost."""
+        """Run *work* at the store after a delay, unless the call or the response to it is lost."""
         world, node = self._world, self._node
-        answer: Deferred[Any] = Deferred()
+        pending: Deferred[Any] = Deferred()
         world.store.calls += 1
         if world.store_down or node.cut_from_store:
-            self._clock.callLater(TIMEOUT_S, answer.errback, PlatformUnavailable("cut"))
-            return answer
-        late_s = world.next_write_late() if writes else 0.0
+            self._clock.callLater(
+                TIMEOUT_S, pending.errback, PlatformUnavailable("cut off from the store")
+            )
+            return pending
+        late_s = world.next_write_delay() if writes else 0.0
         if late_s:
-            world.at(world.now + late_s, lambda: _quietly(work))
-            self._clock.callLater(TIMEOUT_S, answer.errback, PlatformUnavailable("lost"))
-            return answer
+            world.at(world.now + late_s, lambda: _ignore_conflicts(work))
+            self._clock.callLater(TIMEOUT_S, pending.errback, PlatformUnavailable("response lost"))
+            return pending
 
         def at_store() -> None:
             world.store.expire()
@@ -184,23 +186,25 @@
             try:
                 result = work()
             except Exception as error:
-                self._clock.callLater(CALL_S / 2, self._answered, era, answer.errback, error)
+                self._clock.callLater(CALL_S / 2, self._deliver, era, pending.errback, error)
                 return
             if node.cut_from_store:
-                self._clock.callLater(TIMEOUT_S, answer.errback, PlatformUnavailable("lost"))
+                self._clock.callLater(
+                    TIMEOUT_S, pending.errback, PlatformUnavailable("response lost")
+                )
             else:
-                self._clock.callLater(CALL_S / 2, self._answered, era, answer.callback, result)
+                self._clock.callLater(CALL_S / 2, self._deliver, era, pending.callback, result)
 
         world.at(world.now + CALL_S / 2, at_store)
-        return answer
+        return pending
 
     async def get(self, key: str) -> KeyValue | None:
-        def look() -> KeyValue | None:
+        def read() -> KeyValue | None:
             store = self._world.store
             item = store.items.get(key)
             return _in_era(item, store.era) if item is not None else None
 
-        return await self._call(look)
+        return await self._call(read)
 
     async def scan(self, prefix: str) -> Snapshot:
         store = self._world.store
@@ -226,16 +230,16 @@
         return await self._call(lambda: self._world.store.grant(ttl_s))
 
     async def keep_alive(self, lease: int) -> bool:
-        return await self._call(lambda: self._world.store.keep(lease))
+        return await self._call(lambda: self._world.store.renew(lease))
 
     async def revoke(self, lease: int) -> None:
-        return await self._call(lambda: self._world.store.end(lease))
+        return await self._call(lambda: self._world.store.end_lease(lease))
 
     async def operator_entries(self) -> Snapshot:
-        # Written long ago: its own revision lies before any history that was forgotten.
+        # Written long before: its revision may precede the history that the store still has.
         configuration = KeyValue(CONFIGURATION, b"", 1)
 
-        def look() -> Snapshot:
+        def read() -> Snapshot:
             store = self._world.store
             drains = [
                 _in_era(item, store.era)
@@ -244,7 +248,7 @@
             ]
             return Snapshot((configuration, *drains), encode_revision(store.era, store.revision))
 
-        return await self._call(look)
+        return await self._call(read)
 
     async def operator_changes(self, after: int, wait_s: float) -> Changes:
         return await self._watch((CONFIGURATION, DRAINS), after, wait_s)
@@ -258,7 +262,7 @@
         count = revision_count(after)
         while True:
 
-            def look() -> Changes:
+            def read() -> Changes:
                 if count < store.forgotten or count > store.revision:
                     raise HistoryUnavailable(str(after))
                 events = [
@@ -269,14 +273,14 @@
                 return Changes(tuple(events), encode_revision(store.era, store.revision))
 
             check_same_era(after, self._era)
-            changes = await self._call(look)
+            changes = await self._call(read)
             check_same_era(after, self._era)
             if changes.events or self._world.now >= until:
                 return changes
             pause: Deferred[None] = Deferred()
             self._clock.callLater(0.1, pause.callback, None)
             await pause
-            # Looking again is the store's own work here, not another call.
+            # Polling stands for a watch in the store itself, so it does not count as another call.
             store.calls -= 1
 
 
@@ -284,8 +288,8 @@
     return replace(item, revision=encode_revision(era, item.revision))
 
 
-def _quietly(work: Callable[[], Any]) -> None:
-    """Do a write whose answer nobody waits for; its condition may fail by then."""
+def _ignore_conflicts(work: Callable[[], Any]) -> None:
+    """Do a late write, to which no response is sent; its condition may have failed by then."""
     try:
         work()
     except (CasConflict, LeaseNotFound):
--- a/tests/fuzz/mesh_targets.py
+++ b/tests/fuzz/mesh_targets.py
@@ -1,4 +1,4 @@
-"""Targets that beat and hold keys by leases and clocks of their own."""
+"""Targets that send heartbeats and hold keys by leases and clocks of their own."""
 
 from __future__ import annotations
 
@@ -25,10 +25,10 @@
 
 SERVICE = "roster-app"
 LINK_S = 0.002
-BEAT_S = 0.87
-SOON_S = 0.1
+HEARTBEAT_S = 0.87
+EARLY_HEARTBEAT_S = 0.1
 CALL_TIMEOUT_S = 0.35
-"""Seconds after which a caller takes a grant for unanswered."""
+"""Seconds after which a caller treats a grant as unanswered."""
 
 
 @dataclass
@@ -40,38 +40,38 @@
     fence: int
     until: float
     released_at: float | None = None
-    """When the work on keys that were left out will have ended."""
+    """Time at which the work on keys that are no longer granted ends."""
 
 
 class FakeTarget:
-    """A target that enforces its own lease, by a clock that may run slow."""
+    """A target that enforces its own lease by a clock that may run slow."""
 
     def __init__(
         self,
         world: World,
         node: Node,
         number: int,
-        rate: float,
+        clock_rate: float,
         *,
         target_id: str = "",
         started_ms: int | None = None,
     ) -> None:
         self._world = world
         self.node = node
-        self.life = f"i-{node.number}-{number}"
-        """Names the process, which may have the id of a former one."""
-        self.id = target_id or self.life
+        self.incarnation = f"i-{node.number}-{number}"
+        """Identifies the process; a new process may have the id of a former one."""
+        self.id = target_id or self.incarnation
         self._started_ms = started_ms
-        self._rate = rate
+        self._clock_rate = clock_rate
         self._sequence = 0
         self.alive = True
         self.draining = False
         self.rows: list[HeldKeys] = []
-        self._freed: list[ReleasedRow] = []
-        self._next_beat = world.now + 0.1 * (node.number % 5)
-        self._answered = 0
-        self._seen: list[tuple[int, int, int]] = []
-        """Keys (first and last) and the fence of every grant that was taken."""
+        self._unconfirmed_releases: list[ReleasedRow] = []
+        self._next_heartbeat_at = world.now + 0.1 * (node.number % 5)
+        self._last_answered = 0
+        self._seen_grants: list[tuple[int, int, int]] = []
+        """First key, last key and fence of every grant that was taken."""
         self._releasing: list[tuple[HeldKeys, Deferred[ReleaseReply]]] = []
 
     def holds(self, key: int) -> int:
@@ -84,42 +84,43 @@
         return 0
 
     def step(self) -> None:
-        """Let leases run out, let keys go whose work has ended, and beat."""
+        """Expire leases, release keys whose work has ended, and send a due heartbeat."""
         if not self.alive:
             return
         now = self._world.now
-        self._answer_releases(now)
+        self._reply_to_releases(now)
         for row in list(self.rows):
             if row.until <= now:
                 self.rows.remove(row)
             elif row.released_at is not None and row.released_at <= now:
                 self.rows.remove(row)
                 token = f"{self.id}/{row.first}/{row.fence}"
-                self._freed.append(ReleasedRow(row.first, row.last, token))
-                self._next_beat = min(self._next_beat, now)
-        if now >= self._next_beat:
-            self._beat(now)
-
-    def _beat(self, now: float) -> None:
-        leaving = any(row.released_at is not None for row in self.rows)
-        self._next_beat = now + (SOON_S if leaving else BEAT_S)
-        target_heartbeat = self.next_beat()
-        sequence, freed = target_heartbeat.sequence, target_heartbeat.released
+                self._unconfirmed_releases.append(ReleasedRow(row.first, row.last, token))
+                self._next_heartbeat_at = min(self._next_heartbeat_at, now)
+        if now >= self._next_heartbeat_at:
+            self._send_heartbeat(now)
+
+    def _send_heartbeat(self, now: float) -> None:
+        has_releasing_keys = any(row.released_at is not None for row in self.rows)
+        self._next_heartbeat_at = now + (EARLY_HEARTBEAT_S if has_releasing_keys else HEARTBEAT_S)
+        target_heartbeat = self.next_heartbeat()
+        sequence, reported_releases = target_heartbeat.sequence, target_heartbeat.released
         daemon = self.node.daemon
 
         def deliver() -> None:
             if not self.alive or daemon is not self.node.daemon or daemon is None:
                 return
-            answer = daemon.core.local_target.target_heartbeat(target_heartbeat)
-            answer.addCallback(
-                lambda a: self._world.at(
-                    self._world.now + LINK_S, lambda: self._take(sequence, now, freed, a)
+            response = daemon.core.local_target.target_heartbeat(target_heartbeat)
+            response.addCallback(
+                lambda received: self._world.at(
+                    self._world.now + LINK_S,
+                    lambda: self._apply_response(sequence, now, reported_releases, received),
                 )
             )
 
-        self._world.deliver(daemon, self._world.now + LINK_S + self.node.beat_delay_s, deliver)
+        self._world.deliver(daemon, self._world.now + LINK_S + self.node.heartbeat_delay_s, deliver)
 
-    def next_beat(self) -> TargetHeartbeat:
+    def next_heartbeat(self) -> TargetHeartbeat:
         """Return the next heartbeat, which counts as sent."""
         self._sequence += 1
         return TargetHeartbeat(
@@ -133,7 +134,7 @@
             sequence=self._sequence,
             started_ms=self._started_ms,
             held=() if self._world.by_call else self._held_rows(),
-            released=tuple(self._freed),
+            released=tuple(self._unconfirmed_releases),
         )
 
     def _held_rows(self) -> tuple[HeldRow, ...]:
@@ -142,47 +143,47 @@
     # -- calls ----------------------------------------------------------------------
 
     def take_grant(self, row: GrantedRow, hold_s: float, arrived: float) -> GrantVerdict:
-        """Take a grant by call, whose time has run since it arrived."""
-        for first, last, fence in self._seen:
+        """Take a grant by call; its hold runs from its arrival."""
+        for first, last, fence in self._seen_grants:
             if first <= row.last and row.first <= last and fence > row.fence:
                 return GrantVerdict.NEWER_SEEN
-        until = arrived + hold_s / self._rate
+        until = arrived + hold_s / self._clock_rate
         if until <= self._world.now:
             return GrantVerdict.TAKEN
-        self._seen.append((row.first, row.last, row.fence))
+        self._seen_grants.append((row.first, row.last, row.fence))
         granted = HeldKeys(row.first, row.last, row.fence, until)
-        self._cut(row.first, row.last)
+        self._remove_range(row.first, row.last)
         self.rows.append(granted)
-        self._world.took(self, [granted])
+        self._world.record_held(self, [granted])
         return GrantVerdict.TAKEN
 
     def seen(self, first: int, last: int, fence: int) -> None:
-        """Another planner's grant was taken before: no lower fence is taken any more."""
-        self._seen.append((first, last, fence))
+        """Note a grant of another planner: grants with a lower fence are refused from now on."""
+        self._seen_grants.append((first, last, fence))
 
     def take_release(self, row: HeldRow, work_s: float) -> Deferred[ReleaseReply]:
-        """End new work on keys at once; answered when the work on them has ended.
+        """Accept no new work on keys; the reply follows when the running work has ended.
 
-        Work that still runs when its lease ends is broken off by the target itself.
+        The target itself aborts work that still runs when its lease ends.
         """
-        answer: Deferred[ReleaseReply] = Deferred()
+        pending_reply: Deferred[ReleaseReply] = Deferred()
         now = self._world.now
         held = [r.until for r in self.rows if r.first <= row.last and row.first <= r.last]
-        self._cut(row.first, row.last)
+        self._remove_range(row.first, row.last)
         until = min(now + work_s, max(held, default=now))
         working = HeldKeys(row.first, row.last, row.fence, until)
         self.rows.append(working)
-        self._releasing.append((working, answer))
-        return answer
+        self._releasing.append((working, pending_reply))
+        return pending_reply
 
-    def _answer_releases(self, now: float) -> None:
-        for working, answer in list(self._releasing):
+    def _reply_to_releases(self, now: float) -> None:
+        for working, pending_reply in list(self._releasing):
             if working.until <= now:
-                self._releasing.remove((working, answer))
+                self._releasing.remove((working, pending_reply))
                 token = f"{self.id}/{working.first}/{working.fence}"
-                answer.callback(ReleaseReply(True, token))
+                pending_reply.callback(ReleaseReply(True, token))
 
-    def _cut(self, first: int, last: int) -> None:
+    def _remove_range(self, first: int, last: int) -> None:
         kept: list[HeldKeys] = []
         for row in self.rows:
             if row.last < first or row.first > last:
@@ -194,34 +195,42 @@
                 kept.append(HeldKeys(last + 1, row.last, row.fence, row.until))
         self.rows = kept
 
-    # -- answers to heartbeats --------------------------------------------------------
+    # -- responses to heartbeats ------------------------------------------------------
 
-    def _take(
-        self, sequence: int, sent: float, freed: tuple[ReleasedRow, ...], answer: HeartbeatResponse
+    def _apply_response(
+        self,
+        sequence: int,
+        sent: float,
+        reported_releases: tuple[ReleasedRow, ...],
+        response: HeartbeatResponse,
     ) -> None:
         if not self.alive:
             return
-        self._freed = [row for row in self._freed if row not in freed]
-        if answer.rows is None or sequence < self._answered:
+        self._unconfirmed_releases = [
+            row for row in self._unconfirmed_releases if row not in reported_releases
+        ]
+        if response.rows is None or sequence < self._last_answered:
             return
-        self._answered = sequence
-        until = sent + answer.hold_s / self._rate
+        self._last_answered = sequence
+        until = sent + response.hold_s / self._clock_rate
         if until <= self._world.now:
             return
-        granted = [HeldKeys(r.first, r.last, r.fence, until) for r in answer.rows]
+        granted = [HeldKeys(r.first, r.last, r.fence, until) for r in response.rows]
         old = [row for row in self.rows if row.until > self._world.now]
         self.rows = granted
         for row in old:
-            for first, last in _left_out(row, granted):
-                work_s = self._world.work_s()
+            for first, last in _uncovered_parts(row, granted):
+                work_s = self._world.release_work_s()
                 released_at = row.released_at or self._world.now + work_s
                 self.rows.append(HeldKeys(first, last, row.fence, row.until, released_at))
-                self._next_beat = min(self._next_beat, self._world.now + SOON_S)
-        self._world.took(self, granted)
+                self._next_heartbeat_at = min(
+                    self._next_heartbeat_at, self._world.now + EARLY_HEARTBEAT_S
+                )
+        self._world.record_held(self, granted)
 
 
-def _left_out(row: HeldKeys, granted: list[HeldKeys]) -> list[tuple[int, int]]:
-    """Return the parts of a row that no granted row holds."""
+def _uncovered_parts(row: HeldKeys, granted: list[HeldKeys]) -> list[tuple[int, int]]:
+    """Return the parts of a row that no granted row covers."""
     parts: list[tuple[int, int]] = []
     start = row.first
     for g in sorted(granted, key=lambda r: r.first):
@@ -236,7 +245,7 @@
 
 
 class FakeGrants:
-    """One daemon's calls to the target beside it; some go unanswered and are taken late."""
+    """One daemon's calls to its local target; some get no reply and are taken late."""
 
     def __init__(self, world: World, node: Node) -> None:
         self._world = world
@@ -247,7 +256,7 @@
 
     @property
     def attached(self) -> bool:
-        """Whether the process that was there when `attach` was called last runs still."""
+        """Whether the process found by the last call of `attach` still runs."""
         return self._process is not None and self._process.alive
 
     def close(self) -> None:
@@ -255,7 +264,7 @@
         self._process = None
 
     def attach(self) -> Deferred[None]:
-        """Note the process that is there when the connection is made."""
+        """Note the process that runs when the connection is made."""
         if self.attached:
             return succeed(None)
         made: Deferred[None] = Deferred()
@@ -265,7 +274,7 @@
             if self.attached:
                 made.callback(None)
             else:
-                made.errback(ServerUnreachable("no process there"))
+                made.errback(ServerUnreachable("no target process is running"))
 
         self._world.deliver(self._node.daemon, self._world.now + LINK_S, arrive)
         return made
@@ -273,56 +282,60 @@
     def grant(
         self, target: str, row: GrantedRow, hold_s: float, send_by: float
     ) -> Deferred[GrantReply]:
-        """Deliver a grant: at once, or late and without an answer, or both."""
+        """Deliver a grant: at once with a reply, or late, once or several times, without one."""
         world, daemon = self._world, self._node.daemon
         self.offered.append(row)
         self.under_way += 1
         self.most_under_way = max(self.most_under_way, self.under_way)
-        answer: Deferred[GrantReply] = Deferred()
-        answer.addCallback(self._answered)
-        present = self._node.target
+        pending_reply: Deferred[GrantReply] = Deferred()
+        pending_reply.addCallback(self._call_ended)
+        target_process = self._node.target
         arrived = world.now + LINK_S
-        late = world.next_order_late()
+        delays_s = world.next_grant_delays()
 
         def take() -> GrantReply:
-            if present is None or not present.alive:
+            if target_process is None or not target_process.alive:
                 return GrantReply(GrantVerdict.UNANSWERED)
-            if present.id != target_id(target):
+            if target_process.id != target_id(target):
                 return GrantReply(GrantVerdict.UNANSWERED, "status 421", other_target=True)
-            return GrantReply(present.take_grant(row, hold_s, arrived))
+            return GrantReply(target_process.take_grant(row, hold_s, arrived))
 
-        def reply(taken: GrantReply) -> None:
-            world.deliver(daemon, world.now + LINK_S, lambda: answer.callback(taken))
+        def send_reply(grant_reply: GrantReply) -> None:
+            world.deliver(daemon, world.now + LINK_S, lambda: pending_reply.callback(grant_reply))
 
-        if not late:
-            world.at(arrived, lambda: reply(take()))
-            return answer
-        for delay_s in late:
+        if not delays_s:
+            world.at(arrived, lambda: send_reply(take()))
+            return pending_reply
+        for delay_s in delays_s:
             world.at(arrived + delay_s, take)
         world.deliver(
             daemon, world.now + CALL_TIMEOUT_S,
-            lambda: answer.callback(GrantReply(GrantVerdict.UNANSWERED)),
+            lambda: pending_reply.callback(GrantReply(GrantVerdict.UNANSWERED)),
         )  # fmt: skip
-        return answer
+        return pending_reply
 
-    def _answered(self, reply: GrantReply) -> GrantReply:
+    def _call_ended(self, reply: GrantReply) -> GrantReply:
         self.under_way -= 1
         return reply
 
     def release(self, target: str, row: HeldRow) -> Deferred[ReleaseReply]:
-        """Deliver a release, and its answer when the work on the keys has ended."""
+        """Deliver a release, and the reply to it when the work on the keys has ended."""
         world, daemon = self._world, self._node.daemon
-        answer: Deferred[ReleaseReply] = Deferred()
-        present = self._node.target
+        pending_reply: Deferred[ReleaseReply] = Deferred()
+        target_process = self._node.target
 
-        def back(reply: ReleaseReply) -> None:
-            world.deliver(daemon, world.now + LINK_S, lambda: answer.callback(reply))
+        def send_reply(reply: ReleaseReply) -> None:
+            world.deliver(daemon, world.now + LINK_S, lambda: pending_reply.callback(reply))
 
         def arrive() -> None:
-            if present is None or not present.alive or present.id != target_id(target):
-                back(ReleaseReply(False, detail="gone"))
+            if (
+                target_process is None
+                or not target_process.alive
+                or target_process.id != target_id(target)
+            ):
+                send_reply(ReleaseReply(False, detail="gone"))
                 return
-            present.take_release(row, world.work_s()).addCallback(back)
+            target_process.take_release(row, world.release_work_s()).addCallback(send_reply)
 
         world.at(world.now + LINK_S, arrive)
-        return answer
+        return pending_reply
--- a/tests/fuzz/mesh_world.py
+++ b/tests/fuzz/mesh_world.py
@@ -1,8 +1,8 @@
 """Daemons, targets and a store in one process and in virtual time, with an oracle.
 
-The daemons are the real decisions (MeshCore and all below it); the targets enforce leases
-of their own by clocks that may run slow, as the users' targets do; the store can be cut
-off, lose answers, do writes late and forget entries.
+The daemons run the product's decisions (MeshCore and all that it uses); the targets enforce
+leases of their own by clocks that may run slow, as the users' targets do; the store can be cut
+off, lose responses, apply writes late and remove entries.
 """
 
 from __future__ import annotations
@@ -55,18 +55,18 @@
 TICK_S = 0.02
 LINK_S = 0.002
 KEYS = tuple(range(0, 65_536, 1024))
-"""Keys that the oracle looks at."""
+"""Keys that the oracle checks."""
 
 
 class _Client:
-    """The connections to a target, as LocalTarget asks for them."""
+    """The connections to a target, with the interface that LocalTarget expects."""
 
     def __init__(self, node: Node) -> None:
         self._node = node
         self.open_connections = 0
 
     def close(self) -> None:
-        """Nothing is kept."""
+        """Do nothing: no connection is kept."""
 
     def connect(self) -> Deferred[Any]:
         target = self._node.target
@@ -76,7 +76,7 @@
 
 
 class _Log(DecisionLog):
-    """Writes nothing, and counts the decisions by their names."""
+    """Writes nothing and counts the decisions by name."""
 
     def __init__(self, now: Callable[[], float]) -> None:
         super().__init__(0, now)
@@ -88,7 +88,7 @@
 
 
 class _Dialect:
-    """Reads the one configuration of the world, and drains as the platform writes them."""
+    """Returns the world's fixed configuration, and reads drains as the platform writes them."""
 
     def check_drain(self, entry: bytes) -> None:
         check_drain(entry)
@@ -99,29 +99,29 @@
 
 @dataclass
 class Daemon:
-    """One life of a daemon."""
+    """One incarnation of a daemon."""
 
     core: MeshCore
     clock: Clock
-    me: PeerId
+    peer_id: PeerId
     log: _Log
     alive: bool = True
     frozen: bool = False
-    waiting: list[Callable[[], None]] = field(default_factory=list)
+    held_calls: list[Callable[[], None]] = field(default_factory=list)
 
 
 @dataclass
 class Node:
-    """One instance."""
+    """One instance with its daemon and its target."""
 
     number: int
     daemon: Daemon | None = None
     target: FakeTarget | None = None
     cut_from_store: bool = False
     cut_from_peers: bool = False
-    beat_delay_s: float = 0.0
+    heartbeat_delay_s: float = 0.0
     grants: FakeGrants | None = None
-    lives: int = 0
+    incarnations: int = 0
 
 
 class World:
@@ -143,15 +143,15 @@
         self._way = way
         self._domains = domains
         self._born = born
-        """Whether targets tell in their heartbeats when they started."""
-        self._late_orders: list[tuple[float, ...]] = []
-        self._on_sent: dict[int, list[Pull]] = {}
+        """Whether targets report their start time in heartbeats."""
+        self._late_grants: list[tuple[float, ...]] = []
+        self._noted_pulls: dict[int, list[Pull]] = {}
         self._rng = random.Random(seed)
         self._timing = timing
         self.store = FakeStore(self)
         self.store_down = False
         self.cut_links: set[tuple[int, int]] = set()
-        """Links (from and to an instance, by number) on which messages are lost."""
+        """Pairs of instance numbers (sender, receiver) between which messages are lost."""
         self._late_writes: list[float] = []
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._counter = 0
@@ -163,7 +163,7 @@
 
     @property
     def by_call(self) -> bool:
-        """Whether targets are told their keys by calls."""
+        """Whether targets get their keys by calls, not in responses to heartbeats."""
         return self._way is GrantMode.CALL
 
     def domain_of(self, node: Node) -> str:
@@ -171,36 +171,36 @@
         return self._domains[node.number % len(self._domains)]
 
     def drain(self, name: str, entry: bytes = b"{}") -> None:
-        """The operator writes that a failure domain is to be drained."""
+        """Write an operator's drain of a failure domain to the store."""
         self.store.revision += 1
         self.store.put(Put(DRAINS + name, entry))
 
     def end_drain(self, name: str) -> None:
-        """The operator takes the drain of a failure domain back."""
+        """Remove an operator's drain of a failure domain from the store."""
         self.store.remove(DRAINS + name)
 
     # -- time ------------------------------------------------------------------------
 
     def at(self, when: float, call: Callable[[], None]) -> None:
-        """Run *call* at a time."""
+        """Run *call* at the time *when*."""
         self._counter += 1
         self._events.append((when, self._counter, call))
 
     def deliver(self, daemon: Daemon | None, when: float, call: Callable[[], None]) -> None:
-        """Run *call* at a daemon, later where it is frozen, never where it is gone."""
+        """Run *call* at a daemon: after it is thawed if it is frozen, never if it has ended."""
 
         def arrive() -> None:
             if daemon is None or not daemon.alive:
                 return
             if daemon.frozen:
-                daemon.waiting.append(call)
+                daemon.held_calls.append(call)
             else:
                 call()
 
         self.at(when, arrive)
 
     def step(self) -> None:
-        """Let one tick pass."""
+        """Advance the time by one tick."""
         self.now += TICK_S
         self.store.expire()
         self.store.keep_copy()
@@ -216,7 +216,7 @@
                 daemon.clock.advance(self.now - daemon.clock.seconds())
 
     def run(self, seconds: float) -> None:
-        """Let time pass and look at every tick."""
+        """Advance the time and check the oracle after every tick."""
         for _ in range(round(seconds / TICK_S)):
             self.step()
             self.check()
@@ -224,29 +224,34 @@
     # -- the oracle ------------------------------------------------------------------
 
     def check(self) -> None:
-        """Assert that no key has two holders."""
+        """Assert that no key is held by two targets."""
         for key in KEYS:
             holders = [
                 n.target.id for n in self.nodes if n.target is not None and n.target.holds(key)
             ]
             assert len(holders) <= 1, (round(self.now, 2), key, holders)
 
-    def took(self, target: FakeTarget, rows: list[HeldKeys]) -> None:
-        """Assert that a fence is above all under which others had the key."""
+    def record_held(self, target: FakeTarget, rows: list[HeldKeys]) -> None:
+        """Assert that each fence is above all fences under which other targets held the key."""
         for key in KEYS:
             for row in rows:
                 if not row.first <= key <= row.last:
                     continue
-                others = [f for t, f in self._fences[key].items() if t != target.life]
-                assert row.fence > max(others, default=0), (key, target.life, row.fence, others)
-                self._fences[key][target.life] = row.fence
+                others = [f for t, f in self._fences[key].items() if t != target.incarnation]
+                assert row.fence > max(others, default=0), (
+                    key,
+                    target.incarnation,
+                    row.fence,
+                    others,
+                )
+                self._fences[key][target.incarnation] = row.fence
 
     def highest_fences(self) -> dict[int, int]:
-        """Return the highest fence under which each of the looked-at keys was ever held."""
+        """Return the highest fence under which each of the checked keys was ever held."""
         return {key: max(fences.values(), default=0) for key, fences in self._fences.items()}
 
     def holders(self) -> dict[int, str]:
-        """Return the target that holds each of the looked-at keys that has one."""
+        """Return the holder of each of the checked keys that has one."""
         return {
             key: node.target.id
             for key in KEYS
@@ -255,7 +260,7 @@
         }
 
     def served(self) -> int:
-        """Return how many of the looked-at keys have a holder."""
+        """Return how many of the checked keys have a holder."""
         return sum(
             1
             for key in KEYS
@@ -264,92 +269,92 @@
 
     # -- faults ------------------------------------------------------------------------
 
-    def work_s(self) -> float:
-        """Return how long the work on keys that are let go still takes."""
+    def release_work_s(self) -> float:
+        """Return how many seconds the work on released keys still takes."""
         return self._rng.choice((0.0, 0.05, 0.3))
 
-    def next_write_late(self) -> float:
-        """Return after how long the next write is done; 0 does it, and answers, at once."""
+    def next_write_delay(self) -> float:
+        """Return the delay in s of the next write; 0 if it is done and confirmed at once."""
         return self._late_writes.pop(0) if self._late_writes else 0.0
 
     def lose_writes(self, late_s: list[float]) -> None:
-        """The next writes are done late, and their answers are lost."""
+        """Delay the next writes and lose the store's responses to them."""
         self._late_writes.extend(late_s)
 
-    def next_order_late(self) -> tuple[float, ...]:
-        """Return after how long the next grant is taken, unanswered; none where at once."""
-        return self._late_orders.pop(0) if self._late_orders else ()
+    def next_grant_delays(self) -> tuple[float, ...]:
+        """Return the delays in s of the next grant, which gets no reply; empty if not delayed."""
+        return self._late_grants.pop(0) if self._late_grants else ()
 
     def lose_orders(self, late_s: list[tuple[float, ...]]) -> None:
-        """The next grants go unanswered and are taken late, each as often as it has times."""
-        self._late_orders.extend(late_s)
+        """Delay the next grants, which get no reply; each is delivered once per delay."""
+        self._late_grants.extend(late_s)
 
     def count_offers(self, node: Node) -> list[GrantedRow]:
-        """Return the list that a daemon's grants are noted in from now on."""
+        """Return a list to which a daemon's grants are added from now on."""
         assert node.grants is not None
         node.grants.offered = []
         return node.grants.offered
 
     def count_pulls(self, node: Node) -> list[Pull]:
-        """Return the list that a daemon's questions for a key map are noted in from now on."""
+        """Return a list to which a daemon's requests for a key map are added from now on."""
         pulls: list[Pull] = []
-        self._on_sent[node.number] = pulls
+        self._noted_pulls[node.number] = pulls
         return pulls
 
     def start_target(self, node: Node) -> None:
-        """A new incarnation of the target begins."""
-        node.lives += 1
+        """Start a new incarnation of the target."""
+        node.incarnations += 1
         rate = self._rng.choice((0.98, 0.99, 1.0))
         node.target = FakeTarget(
-            self, node, node.lives, rate, started_ms=self._started_ms(self._born)
+            self, node, node.incarnations, rate, started_ms=self._start_time_ms(self._born)
         )
 
     def restart_target(self, node: Node, *, born: bool) -> None:
-        """The target crashes, and a new process of it starts under the same id.
+        """Crash the target and start a new process of it under the same id.
 
-        With *born* the new one says when it started.
+        With *born* the new process reports its start time.
         """
         former = node.target
         assert former is not None
         former.alive = False
-        node.lives += 1
+        node.incarnations += 1
         node.target = FakeTarget(
-            self, node, node.lives, self._rng.choice((0.98, 0.99, 1.0)),
-            target_id=former.id, started_ms=self._started_ms(born),
+            self, node, node.incarnations, self._rng.choice((0.98, 0.99, 1.0)),
+            target_id=former.id, started_ms=self._start_time_ms(born),
         )  # fmt: skip
 
-    def _started_ms(self, told: bool) -> int | None:
-        """Return the Unix time in ms at which a target starts now; None where it does not say."""
-        return round(self.now * 1000) if told else None
+    def _start_time_ms(self, reported: bool) -> int | None:
+        """Return the Unix time in ms as start time of a target; None if it is not reported."""
+        return round(self.now * 1000) if reported else None
 
     def late_beat(self, node: Node, target: FakeTarget, delay_s: float) -> None:
-        """A heartbeat that a target sends now arrives after a while, whatever happens to it."""
-        daemon, target_heartbeat = node.daemon, target.next_beat()
+        """Delay a heartbeat that a target sends now; it arrives even if the target has ended."""
+        daemon, target_heartbeat = node.daemon, target.next_heartbeat()
         self.deliver(
             daemon,
             self.now + delay_s,
             lambda: daemon and daemon.core.local_target.target_heartbeat(target_heartbeat),
         )
 
-    def return_store(self, copy: Any, away_s: float) -> None:
-        """The store is away for some seconds and comes back from a copy."""
+    def return_store(self, copy: Any, down_s: float) -> None:
+        """Make the store unavailable for some seconds, then restore it from an older copy."""
         self.store_down = True
-        self.run(away_s)
+        self.run(down_s)
         self.store.go_back(copy)
         self.store_down = False
 
     def lose(self, node: Node) -> None:
-        """The instance is lost, with its daemon and its target."""
+        """End the daemon and the target of an instance."""
         self.end_daemon(node)
         self.end_target(node)
 
     def end_target(self, node: Node) -> None:
-        """The target's process ends."""
+        """End the target's process."""
         if node.target is not None:
             node.target.alive = False
 
     def start_daemon(self, node: Node) -> None:
-        """A new life of the daemon begins."""
+        """Start a new incarnation of the daemon; a running one is killed."""
         self.end_daemon(node)
         clock = Clock()
         clock.advance(self.now)
@@ -358,11 +363,11 @@
             failure_domain=self.domain_of(node),
             failure_domains=frozenset(self._domains),
         )
-        node.lives += 1
-        me = PeerId(f"d{node.number}-{node.lives}", str(settings.peers))
+        node.incarnations += 1
+        peer_id = PeerId(f"d{node.number}-{node.incarnations}", str(settings.peers))
 
         def send(address: str, message: ControlMessage) -> None:
-            self._send(node, me, address, message)
+            self._send(node, peer_id, address, message)
 
         node.grants = FakeGrants(self, node)
         log = _Log(lambda: self.now)
@@ -372,38 +377,38 @@
             StoreClient(self, node, clock),
             _Dialect(),  # type: ignore[arg-type]
             log,
-            me,
+            peer_id,
             _Client(node),  # type: ignore[arg-type]
             send,
             LinkQueue(settings.link_mbit_per_s),
             node.grants,
         )
-        node.daemon = Daemon(core_, clock, me, log)
+        node.daemon = Daemon(core_, clock, peer_id, log)
         core_.start(lambda table: None)
 
     def end_daemon(self, node: Node) -> None:
-        """The daemon's process is killed."""
+        """Kill the daemon's process."""
         if node.daemon is not None:
             node.daemon.alive = False
             node.daemon = None
 
     def freeze(self, node: Node) -> None:
-        """The daemon stands still."""
+        """Freeze the daemon: calls to it are held until it is thawed."""
         if node.daemon is not None:
             node.daemon.frozen = True
 
     def thaw(self, node: Node) -> None:
-        """The daemon goes on, with whatever has piled up for it."""
+        """Thaw the daemon and run the calls that were held for it."""
         daemon = node.daemon
         if daemon is None or not daemon.frozen:
             return
         daemon.frozen = False
-        waiting, daemon.waiting = daemon.waiting, []
-        for call in waiting:
+        held_calls, daemon.held_calls = daemon.held_calls, []
+        for call in held_calls:
             call()
 
     def load(self, node: Node, first: int, requests: int) -> None:
-        """Ask a target for neighbouring keys so often that the planner moves some."""
+        """Count requests for neighbouring keys at a target, so that the planner moves some."""
         if node.daemon is None:
             return
         counter = node.daemon.core.local_target._counter
@@ -411,14 +416,14 @@
             counter.count((first + number % 200) % 65_536)
 
     def key_of(self, node: Node) -> int:
-        """Return the first key that a target holds; 0 where it holds none now."""
+        """Return the first key that a target holds; 0 if it holds none."""
         assert node.target is not None
         return min((row.first for row in node.target.rows), default=0)
 
-    def _send(self, node: Node, me: PeerId, address: str, message: ControlMessage) -> None:
-        if isinstance(message, Pull) and node.number in self._on_sent:
-            self._on_sent[node.number].append(message)
-        receiver = next((n for n in self.nodes if str(_peers(n.number)) == address), None)
+    def _send(self, node: Node, peer_id: PeerId, address: str, message: ControlMessage) -> None:
+        if isinstance(message, Pull) and node.number in self._noted_pulls:
+            self._noted_pulls[node.number].append(message)
+        receiver = next((n for n in self.nodes if str(_peer_address(n.number)) == address), None)
         if receiver is None or receiver.cut_from_peers or node.cut_from_peers:
             return
         if (node.number, receiver.number) in self.cut_links:
@@ -428,29 +433,29 @@
 
         def arrive() -> None:
             assert daemon is not None
-            daemon.core.control_received(me, decode_control(data))
+            daemon.core.control_received(peer_id, decode_control(data))
 
         self.deliver(daemon, self.now + LINK_S * self._rng.choice((1, 1, 1, 40)), arrive)
 
 
-def _peers(number: int) -> Address:
+def _peer_address(number: int) -> Address:
     return Address(f"10.0.0.{number + 1}", 7600)
 
 
 def _settings(number: int, timing: GrantTiming, way: GrantMode) -> MeshSettings:
-    here = _peers(number)
+    own_address = _peer_address(number)
     return MeshSettings(
         instance=f"instance-{number}",
         failure_domain="a",
         failure_domains=frozenset(),
         service=SERVICE,
         target_address="127.0.0.1:1",
-        callers=here,
-        heartbeats=here,
-        readiness=here,
-        peers=here,
-        peers_reached_at=here,
-        metrics=here,
+        callers=own_address,
+        heartbeats=own_address,
+        readiness=own_address,
+        peers=own_address,
+        peers_reached_at=own_address,
+        metrics=own_address,
         store=StoreSettings("127.0.0.1:2", 3.0, 0.8),
         grant_mode=way,
         holds=timing,
@@ -468,7 +473,7 @@
 
 
 def begin_world(stack: ExitStack, count: int, timing: GrantTiming, **options: Any) -> World:
-    """Begin a world whose parts all read its time, until *stack* is closed."""
+    """Start a world; until *stack* is closed all its parts read its virtual time."""
     world = World.__new__(World)
     stack.enter_context(virtual_time(lambda: world))
     world.__init__(count, timing, **options)  # type: ignore[misc]
@@ -477,7 +482,7 @@
 
 @contextmanager
 def virtual_time(world: Callable[[], World | None]) -> Iterator[None]:
-    """Let every part of the daemons read the time of *world*."""
+    """Make every module of the daemons read the time of *world*."""
 
     def now() -> float:
         found = world()
--- a/tests/fuzz/returning_store.py
+++ b/tests/fuzz/returning_store.py
@@ -1,8 +1,8 @@
-"""Plays in which the store comes back from an older copy just as keys move, drawn by a seed.
+"""Random scenarios, by seed, in which the store is restored from an older copy while keys move.
 
-Before the store goes back keys move, daemons start again, stand still or are cut off, and writes
-are done late; then it loses some seconds of that, while a part of the daemons, or everything,
-starts again. The oracle looks at every tick of the time before, during and after.
+Before the restore keys move, daemons restart, freeze or are cut off, and writes are done late.
+The restore loses the last seconds of that, while some daemons, or all instances, restart. The
+oracle checks every tick before, during and after it.
 """
 
 import random
@@ -16,123 +16,124 @@
 
 __all__ = ["Play"]
 
-SERVES_S = 6.0
+SETTLE_S = 6.0
 DOMAINS = ("a", "b", "c")
 BEFORE, AFTER = (2, 7), (1, 5)
-"""How many things happen before the store goes back, and after it, at least and at most."""
+"""Minimum and maximum number of events before the restore of the store, and after it."""
 PAUSES_S = (0.06, 0.3, 0.3, 0.8, 0.8, 2.0, 4.0)
 AGES_S = (0.6, 1.0, 2.0, 3.0, 5.0, 8.0)
 AWAY_S = (0.0, 0.1, 0.3, 1.0, 2.0)
-DOWN_S = 1.4
-"""Seconds after which what lost power stands again."""
-HEALED_S = 16.0
-"""Seconds after the last fault in which every key has an owner again: a lease that others wait
-out, and after it the planner's patience with who is silent."""
-LATE_ORDERS = ((2.0,), (2.6,), (0.0, 2.5), (0.5, 6.0), (1.0, 1.5))
+RESTART_S = 1.4
+"""Longer one of the two pauses before ended processes restart: a restart after a power failure."""
+RECOVERY_S = 16.0
+"""Seconds after the last fault by which every key has an owner again: a lease that others wait
+out, and after it the planner's maximum wait for targets that do not report."""
+GRANT_DELAYS = ((2.0,), (2.6,), (0.0, 2.5), (0.5, 6.0), (1.0, 1.5))
 
 
 class Play:
-    """One play in virtual time."""
+    """One scenario in virtual time."""
 
     def __init__(self, seed: int, way: GrantMode) -> None:
         self._rng = random.Random(seed)
         self._way = way
         self._seed = seed
         self.told: list[str] = []
-        """What happened, for whoever looks into a play that failed."""
+        """The events, for the analysis of a failed run."""
 
     def run(self) -> None:
-        """Play it; raises AssertionError where two targets hold a key, or a fence does not rise."""
+        """Run it; raises AssertionError if two targets hold a key or a fence does not rise."""
         with ExitStack() as stack:
             count = self._rng.randint(2, 6)
             world = begin_world(
                 stack, count, GrantTiming(), seed=self._seed, way=self._way, domains=DOMAINS
             )
-            self._play(world)
+            self._run_scenario(world)
 
-    def _play(self, world: World) -> None:
+    def _run_scenario(self, world: World) -> None:
         rng = self._rng
-        world.run(SERVES_S)
+        world.run(SETTLE_S)
         assert world.served() == len(KEYS), world.served()
         for _ in range(rng.randint(*BEFORE)):
-            self._happens(world)
+            self._inject_event(world)
         for _ in range(rng.choice((1, 1, 1, 2))):
-            self._store_goes_back(world)
+            self._restore_store(world)
             for _ in range(rng.randint(*AFTER)):
-                self._happens(world)
-        self._heal(world)
-        world.run(HEALED_S)
-        assert world.served() == len(KEYS), f"{world.served()} keys are served in the end"
+                self._inject_event(world)
+        self._end_all_faults(world)
+        world.run(RECOVERY_S)
+        assert world.served() == len(KEYS), f"{world.served()} keys have a holder at the end"
 
-    def _happens(self, world: World) -> None:
-        """Let one thing happen, and some time pass."""
+    def _inject_event(self, world: World) -> None:
+        """Inject one event and let some time pass."""
         rng = self._rng
         node = rng.choice(world.nodes)
         event: Callable[[World, Node], None] = rng.choice(
             (
-                self._leaves, self._leaves, self._is_replaced, self._is_hot, self._is_hot,
-                self._starts_again, self._starts_again, self._is_cut_off, self._is_cut_off,
-                self._is_cut_from_store, self._freezes, self._writes_late, self._orders_late,
-                self._is_back, self._is_back, self._is_back,
+                self._drain_target, self._drain_target, self._replace_target,
+                self._add_load, self._add_load, self._restart_daemon, self._restart_daemon,
+                self._cut_from_peers, self._cut_from_peers, self._cut_from_store,
+                self._freeze_daemon, self._delay_writes, self._delay_grants,
+                self._end_faults, self._end_faults, self._end_faults,
             )
         )  # fmt: skip
-        self._tell(world, f"{event.__name__} {node.number}")
+        self._record(world, f"{event.__name__} {node.number}")
         event(world, node)
         world.run(rng.choice(PAUSES_S))
 
-    def _tell(self, world: World, what: str) -> None:
+    def _record(self, world: World, what: str) -> None:
         self.told.append(f"{world.now:.2f} {what}")
 
-    # -- what happens -----------------------------------------------------------------
+    # -- events -----------------------------------------------------------------------
 
-    def _leaves(self, world: World, node: Node) -> None:
+    def _drain_target(self, world: World, node: Node) -> None:
         assert node.target is not None
         node.target.draining = True
 
-    def _is_replaced(self, world: World, node: Node) -> None:
+    def _replace_target(self, world: World, node: Node) -> None:
         world.end_target(node)
         world.start_target(node)
 
-    def _is_hot(self, world: World, node: Node) -> None:
+    def _add_load(self, world: World, node: Node) -> None:
         world.load(node, self._rng.randrange(60_000), self._rng.randint(50, 400))
 
-    def _starts_again(self, world: World, node: Node) -> None:
+    def _restart_daemon(self, world: World, node: Node) -> None:
         world.start_daemon(node)
 
-    def _is_cut_off(self, world: World, node: Node) -> None:
+    def _cut_from_peers(self, world: World, node: Node) -> None:
         node.cut_from_peers = True
 
-    def _is_cut_from_store(self, world: World, node: Node) -> None:
+    def _cut_from_store(self, world: World, node: Node) -> None:
         node.cut_from_store = True
 
-    def _freezes(self, world: World, node: Node) -> None:
+    def _freeze_daemon(self, world: World, node: Node) -> None:
         world.freeze(node)
 
-    def _writes_late(self, world: World, node: Node) -> None:
+    def _delay_writes(self, world: World, node: Node) -> None:
         world.lose_writes([self._rng.choice((0.01, 0.5, 1.2, 3.0, 5.0))])
 
-    def _orders_late(self, world: World, node: Node) -> None:
+    def _delay_grants(self, world: World, node: Node) -> None:
         if world.by_call:
-            world.lose_orders([self._rng.choice(LATE_ORDERS) for _ in range(4)])
+            world.lose_orders([self._rng.choice(GRANT_DELAYS) for _ in range(4)])
 
-    def _is_back(self, world: World, node: Node) -> None:
-        """Everything that was done to an instance is over."""
+    def _end_faults(self, world: World, node: Node) -> None:
+        """End all faults of an instance."""
         node.cut_from_peers = node.cut_from_store = False
         world.thaw(node)
         if node.target is None or not node.target.alive or node.target.draining:
-            self._is_replaced(world, node)
+            self._replace_target(world, node)
         if node.daemon is None:
             world.start_daemon(node)
 
-    def _store_goes_back(self, world: World) -> None:
+    def _restore_store(self, world: World) -> None:
         rng = self._rng
         age_s, away_s = rng.choice(AGES_S), rng.choice(AWAY_S)
         ends = rng.choice((0.0, 0.0, 0.3, 0.6, 1.0))
         targets_too = rng.random() < 0.5
         ended = [node for node in world.nodes if rng.random() < ends]
-        self._tell(
+        self._record(
             world,
-            f"goes back by {age_s} s, away for {away_s} s; "
+            f"store restored from {age_s} s before, unavailable for {away_s} s; "
             f"ended: {[n.number for n in ended]}, targets too: {targets_too}",
         )
         copy = world.store.copy_of(world.now - age_s)
@@ -142,13 +143,13 @@
                 world.end_target(node)
         world.return_store(copy, away_s)
         if ended:
-            world.run(rng.choice((0.02, DOWN_S)))
+            world.run(rng.choice((0.02, RESTART_S)))
         for node in ended:
             if targets_too:
                 world.start_target(node)
             world.start_daemon(node)
         world.run(rng.choice(PAUSES_S))
 
-    def _heal(self, world: World) -> None:
+    def _end_all_faults(self, world: World) -> None:
         for node in world.nodes:
-            self._is_back(world, node)
+            self._end_faults(world, node)
