--- a/tests/fuzz/mesh_targets.py
+++ b/tests/fuzz/mesh_targets.py
@@ -220,7 +220,7 @@
         self.rows = granted
         for row in old:
             for first, last in _uncovered_parts(row, granted):
-                work_s = self._world.release_work_s()
+                work_s = self._world.work_s()
                 released_at = row.released_at or self._world.now + work_s
                 self.rows.append(HeldKeys(first, last, row.fence, row.until, released_at))
                 self._next_heartbeat_at = min(
@@ -335,7 +335,7 @@
             ):
                 send_reply(ReleaseReply(False, detail="gone"))
                 return
-            target_process.take_release(row, world.release_work_s()).addCallback(send_reply)
+            target_process.take_release(row, world.work_s()).addCallback(send_reply)
 
         world.at(world.now + LINK_S, arrive)
         return pending_reply
--- a/tests/fuzz/mesh_world.py
+++ b/tests/fuzz/mesh_world.py
@@ -269,7 +269,7 @@
 
     # -- faults ------------------------------------------------------------------------
 
-    def release_work_s(self) -> float:
+    def work_s(self) -> float:
         """Return how many seconds the work on released keys still takes."""
         return self._rng.choice((0.0, 0.05, 0.3))
 
