--- a/features/steps/witness_change_steps.py
+++ b/features/steps/witness_change_steps.py
@@ -54,7 +54,7 @@
     frozen.paused = True
     _step(context, FROZEN_S)
     for other in world.nodes[1:]:
-        world.cut |= {(first.address, other.address), (other.address, first.address)}
+        world.cut_links |= {(first.address, other.address), (other.address, first.address)}
     frozen.paused = False
 
 
@@ -112,7 +112,7 @@
 def others_end(context: Any) -> None:
     world = context.world
     for node in world.nodes[1:]:
-        node.dead = True
+        node.ended = True
     _step(context, 2.0)
     for node in world.nodes[1:]:
         world.nodes[0].role.core.force_release(node.incarnation)
--- a/tests/fuzz/cell_world.py
+++ b/tests/fuzz/cell_world.py
@@ -74,13 +74,13 @@
     agent: CellAgent
     incarnation: str
     paused: bool = False
-    dead: bool = False
+    ended: bool = False
     role: Role | None = None
     runs: list[Run] = field(default_factory=list)
 
 
 @dataclass(frozen=True)
-class Parcel:
+class MessageInTransit:
     """A message in transit."""
 
     sender: PeerId
@@ -94,8 +94,8 @@
     def __init__(self, count: int, *, same_identity: bool = False) -> None:
         self.time = 1000.0
         self.platform = Platform()
-        self.parcels: list[Parcel] = []
-        self.cut: set[tuple[str, str]] = set()
+        self.messages_in_transit: list[MessageInTransit] = []
+        self.cut_links: set[tuple[str, str]] = set()
         self.slow: set[tuple[str, str]] = set()
         """Links whose messages wait until they are delivered one by one, in any order."""
         self.writes = 0
@@ -139,7 +139,7 @@
         node.role = Role(core, self.platform.record)
         node.agent.set_coordinator(node.address)
         for other in self.nodes:
-            if not other.dead and not other.paused:
+            if not other.ended and not other.paused:
                 other.agent.set_coordinator(node.address)
 
     # -- time and messages --------------------------------------------------------
@@ -159,32 +159,34 @@
     def deliver(self) -> None:
         """Deliver all messages that can be delivered."""
         for _ in range(6):
-            parcels, self.parcels = self.parcels, []
-            for parcel in parcels:
-                self.deliver_one(parcel)
-            if len(self.parcels) >= len(parcels):
+            batch, self.messages_in_transit = self.messages_in_transit, []
+            for in_transit in batch:
+                self.deliver_one(in_transit)
+            if len(self.messages_in_transit) >= len(batch):
                 return
 
-    def deliver_one(self, parcel: Parcel, *, force: bool = False) -> None:
+    def deliver_one(self, in_transit: MessageInTransit, *, force: bool = False) -> None:
         """Deliver one message unless its link is cut; a paused node gets it after it resumes."""
-        node = next(n for n in self.nodes if n.address == parcel.target)
-        if node.dead or (parcel.sender.address, parcel.target) in self.cut:
+        node = next(n for n in self.nodes if n.address == in_transit.target)
+        if node.ended or (in_transit.sender.address, in_transit.target) in self.cut_links:
             return
-        if node.paused or (not force and (parcel.sender.address, parcel.target) in self.slow):
-            self.parcels.append(parcel)
+        if node.paused or (
+            not force and (in_transit.sender.address, in_transit.target) in self.slow
+        ):
+            self.messages_in_transit.append(in_transit)
             return
-        self._receive(node, parcel.sender, parcel.message)
+        self._receive(node, in_transit.sender, in_transit.message)
 
     def deliver_replies(self, node: Node) -> None:
         """Deliver the pending replies of witnesses to one daemon before any other message."""
         replies = [
             p
-            for p in self.parcels
+            for p in self.messages_in_transit
             if p.target == node.address and isinstance(p.message, RenewReply)
         ]
-        for parcel in replies:
-            self.parcels.remove(parcel)
-            self.deliver_one(parcel, force=True)
+        for in_transit in replies:
+            self.messages_in_transit.remove(in_transit)
+            self.deliver_one(in_transit, force=True)
 
     def decide(self, node: Node, *, lose_answer: bool = False) -> None:
         """Let a coordinator plan the next record and write it."""
@@ -192,8 +194,8 @@
         assert role is not None
         now = self.now(node)
         for other in self.nodes:
-            reachable = (node.address, other.address) not in self.cut
-            if reachable and not other.dead and not other.paused:
+            reachable = (node.address, other.address) not in self.cut_links
+            if reachable and not other.ended and not other.paused:
                 # Equivalent to opening a connection now, to the members of the record known now.
                 expected = {m.incarnation for m in role.record.members if m.peer == other.address}
                 role.core.peer_seen(PeerId(other.incarnation, other.address))
@@ -233,7 +235,7 @@
         if address == node.address:
             self._receive(node, sender, message)
         else:
-            self.parcels.append(Parcel(sender, address, message))
+            self.messages_in_transit.append(MessageInTransit(sender, address, message))
 
     def _receive(self, node: Node, sender: PeerId, message: ControlMessage) -> None:
         now = self.now(node)
@@ -264,7 +266,7 @@
                     self.finish(node, run)
 
     def _is_running(self, node: Node) -> bool:
-        return not node.dead and not node.paused
+        return not node.ended and not node.paused
 
     # -- requests -----------------------------------------------------------------
 
@@ -290,7 +292,7 @@
         """Return the incarnations that could act on a key now if paused ones resumed."""
         found: set[str] = set()
         for node in self.nodes:
-            if node.dead:
+            if node.ended:
                 continue
             now = self.now(node)
             ownership = node.agent.ownership
--- a/tests/fuzz/ownership_machine.py
+++ b/tests/fuzz/ownership_machine.py
@@ -10,7 +10,10 @@
 
 
 class OwnershipMachine(RuleBasedStateMachine):
-    """Pauses, cuts, losses, duplicates, restarts, lost answers, several coordinators."""
+    """Rules for pauses, cut links, lost and duplicated messages, restarts and drains.
+
+    Responses of the store may be lost, and several daemons may coordinate at the same time.
+    """
 
     same_identity = False
 
@@ -28,68 +31,73 @@
 
     @rule(steps=st.integers(1, 30))
     def pass_time(self, steps: int) -> None:
-        """Let time pass, looking at every step."""
+        """Advance the time and check the invariants after each step."""
         for _ in range(steps):
             self.world.step()
             self.world.check()
 
     @rule(number=NODES)
     def pause(self, number: int) -> None:
-        """Freeze a daemon."""
+        """Pause a daemon."""
         self._node(number).paused = True
 
     @rule(number=NODES)
     def resume(self, number: int) -> None:
-        """Let a frozen daemon go on, with whatever has piled up for it."""
+        """Resume a paused daemon, which then receives the messages sent to it meanwhile."""
         self._node(number).paused = False
 
     @rule(number=NODES)
     def kill(self, number: int) -> None:
-        """End a daemon for good."""
-        self._node(number).dead = True
+        """End a daemon without starting a successor."""
+        self._node(number).ended = True
 
     @rule(number=NODES)
     def restart(self, number: int) -> None:
-        """Start a new daemon in place of one."""
+        """Replace a daemon by a new one."""
         self.world.restart(self._node(number))
 
     @rule(start=NODES, end=NODES, both=st.booleans())
     def cut(self, start: int, end: int, both: bool) -> None:
-        """Cut a link one way or both ways."""
+        """Cut a link in one direction or in both."""
         a, b = self._node(start).address, self._node(end).address
-        self.world.cut.add((a, b))
+        self.world.cut_links.add((a, b))
         if both:
-            self.world.cut.add((b, a))
+            self.world.cut_links.add((b, a))
 
     @rule(number=NODES)
     def isolate(self, number: int) -> None:
-        """Cut a daemon off from all others."""
-        mine = self._node(number).address
+        """Cut all links between a daemon and the others."""
+        own_address = self._node(number).address
         for other in self.world.nodes:
-            if other.address != mine:
-                self.world.cut |= {(mine, other.address), (other.address, mine)}
+            if other.address != own_address:
+                self.world.cut_links |= {(own_address, other.address), (other.address, own_address)}
 
     @rule(start=NODES, end=NODES)
     def slow(self, start: int, end: int) -> None:
-        """Let the messages of a link wait."""
+        """Delay the messages of a link until they are delivered one by one."""
         self.world.slow.add((self._node(start).address, self._node(end).address))
 
     @rule(number=NODES)
     def slow_towards(self, number: int) -> None:
-        """Let all messages to a daemon wait."""
-        mine = self._node(number).address
-        self.world.slow |= {(n.address, mine) for n in self.world.nodes if n.address != mine}
+        """Delay all messages to a daemon until they are delivered one by one."""
+        own_address = self._node(number).address
+        self.world.slow |= {
+            (n.address, own_address) for n in self.world.nodes if n.address != own_address
+        }
 
     @rule(slot=SLOTS)
     def deliver(self, slot: int) -> None:
-        """Deliver one waiting message before others."""
-        parcels = self.world.parcels
-        if parcels:
-            self.world.deliver_one(parcels.pop(slot % len(parcels)), force=True)
+        """Deliver one message in transit before the others, even on a slow link."""
+        messages = self.world.messages_in_transit
+        if messages:
+            self.world.deliver_one(messages.pop(slot % len(messages)), force=True)
 
     @rule(number=NODES, steps=st.integers(20, 40), asleep=st.booleans())
     def return_late(self, number: int, steps: int, asleep: bool) -> None:
-        """Lose a daemon long enough to be replaced; it hears witnesses before newer records."""
+        """Pause or isolate a daemon until its keys can be taken over, then reconnect it.
+
+        Pending replies of its witnesses reach it before newer records do.
+        """
         node = self._node(number)
         self.slow_towards(number)
         self.pass_time(1)
@@ -99,7 +107,7 @@
             self.isolate(number)
         self.pass_time(steps)
         node.paused = False
-        self.world.cut.clear()
+        self.world.cut_links.clear()
         if not asleep:
             self.pass_time(6)
         self.world.deliver_replies(node)
@@ -107,18 +115,18 @@
 
     @rule(mask=st.integers(1, 30), steps=st.integers(10, 60))
     def split(self, mask: int, steps: int) -> None:
-        """Part the daemons into two groups for a while."""
+        """Cut the links between two groups of daemons and let time pass."""
         for a in self.world.nodes:
             for b in self.world.nodes:
                 if (mask >> a.number) & 1 != (mask >> b.number) & 1:
-                    self.world.cut.add((a.address, b.address))
+                    self.world.cut_links.add((a.address, b.address))
         self.pass_time(steps)
 
     @rule(number=NODES, slot=SLOTS, steps=st.integers(1, 10))
     def drain_running(self, number: int, slot: int, steps: int) -> None:
-        """Plan a daemon's stop while a request of its runs."""
+        """Drain a daemon while it runs requests."""
         node = self._node(number)
-        if node.dead or node.paused:
+        if node.ended or node.paused:
             return
         positions = self.world.positions
         for offset in range(len(positions)):
@@ -128,23 +136,26 @@
 
     @rule(number=NODES, mask=st.integers(1, 31))
     def forget(self, number: int, mask: int) -> None:
-        """Freeze a daemon while others are replaced, and let it return."""
-        frozen = self._node(number)
+        """Isolate a daemon while others are replaced, then reconnect it.
+
+        Pending replies of its witnesses reach it before newer records do.
+        """
+        isolated = self._node(number)
         self.slow_towards(number)
         self.pass_time(1)
         self.isolate(number)
         for node in list(self.world.nodes):
-            if node is not frozen and (mask >> node.number) & 1:
+            if node is not isolated and (mask >> node.number) & 1:
                 self.world.restart(node)
         self.coordinate(number + 1)
         self.pass_time(12)
-        self.world.cut.clear()
-        self.world.deliver_replies(frozen)
+        self.world.cut_links.clear()
+        self.world.deliver_replies(isolated)
         self.world.check()
 
     @rule(number=NODES, other=NODES)
     def replace_witness(self, number: int, other: int) -> None:
-        """Replace a daemon, and lose another one just as the witness sets change."""
+        """Replace a daemon, and isolate another one while the witness sets change."""
         if self._node(number) is self._node(other):
             return
         self.restart(number)
@@ -154,46 +165,47 @@
 
     @rule()
     def heal(self) -> None:
-        """Mend all links."""
-        self.world.cut.clear()
+        """Restore all links."""
+        self.world.cut_links.clear()
         self.world.slow.clear()
 
     @rule(slot=SLOTS)
     def duplicate(self, slot: int) -> None:
-        """Deliver a message twice."""
-        parcels = self.world.parcels
-        if parcels:
-            parcels.append(parcels[slot % len(parcels)])
+        """Duplicate a message in transit."""
+        messages = self.world.messages_in_transit
+        if messages:
+            messages.append(messages[slot % len(messages)])
 
     @rule(slot=SLOTS)
     def drop(self, slot: int) -> None:
-        """Lose a message."""
-        parcels = self.world.parcels
-        if parcels:
-            parcels.pop(slot % len(parcels))
+        """Drop a message in transit."""
+        messages = self.world.messages_in_transit
+        if messages:
+            messages.pop(slot % len(messages))
 
     @rule(number=NODES)
     def coordinate(self, number: int) -> None:
-        """Let another daemon take the role, whether or not the present holder knows."""
+        """Make a daemon the coordinator, even if another one still is."""
         node = self._node(number)
-        if not node.dead and not node.paused:
+        if not node.ended and not node.paused:
             self.world.take_role(node)
 
     @rule(number=NODES)
     def fall_back(self, number: int) -> None:
-        """Let a daemon read the stored record, and write its own release where that is awaited."""
+        """Let a daemon read the stored record, and write its release if the record awaits it."""
         node = self._node(number)
-        if not node.dead and not node.paused:
+        if not node.ended and not node.paused:
             self.world.fall_back(node)
 
     @rule(number=NODES, frozen=st.integers(1, 4), steps=st.integers(1, 30), leaving=st.booleans())
     def release_through_store(self, number: int, frozen: int, steps: int, leaving: bool) -> None:
-        """Cut an owner off while others are frozen, and let it give up by the store alone."""
+        """Isolate an owner after pausing others, so that it can release only through the store."""
         node = self._node(number)
-        if node.dead or node.paused:
+        if node.ended or node.paused:
             return
         if leaving:
-            # The record in which it changes its own witnesses no longer reaches other daemons.
+            # The owner coordinates itself: the record that changes its witnesses no longer reaches
+            # other daemons.
             self.drain_running(number, 0, 1)
             self.coordinate(number)
         others = [n for n in self.world.nodes if n is not node][-frozen:]
@@ -209,32 +221,32 @@
 
     @rule(number=NODES)
     def lose_answer(self, number: int) -> None:
-        """Let a coordinator's write take effect while its answer is lost."""
+        """Let a coordinator's write take effect although the response is lost."""
         node = self._node(number)
-        if node.role is not None and not node.dead and not node.paused:
+        if node.role is not None and not node.ended and not node.paused:
             self.world.decide(node, lose_answer=True)
 
     @rule(number=NODES)
     def drain(self, number: int) -> None:
-        """Plan a daemon's stop."""
+        """Start the drain of a daemon's planned stop."""
         self._node(number).agent.drain()
 
     @rule(number=NODES, slot=SLOTS)
     def request(self, number: int, slot: int) -> None:
         """Start a request."""
         node = self._node(number)
-        if not node.dead and not node.paused:
+        if not node.ended and not node.paused:
             self.world.start_request(node, self.world.positions[slot % len(self.world.positions)])
 
     @rule(number=NODES, slot=SLOTS)
     def finish(self, number: int, slot: int) -> None:
         """Finish a request."""
         node = self._node(number)
-        if node.runs and not node.dead and not node.paused:
+        if node.runs and not node.ended and not node.paused:
             self.world.finish(node, node.runs[slot % len(node.runs)])
 
     @invariant()
     def sole_owner(self) -> None:
-        """Never two that could both act; nothing acknowledged is lost."""
+        """At most one daemon can act on a key, and every shard keeps an owner."""
         if hasattr(self, "world"):
             self.world.check()
--- a/tests/fuzz/table_machine.py
+++ b/tests/fuzz/table_machine.py
@@ -1,4 +1,4 @@
-"""Stateful fuzzing of table versions: concurrent edits, lost responses, gossip of daemons."""
+"""Stateful fuzzing of table versions: concurrent edits, lost messages, gossip between daemons."""
 
 from random import Random
 from typing import Any
@@ -22,44 +22,47 @@
 
 
 class FakePlatform:
-    """A key with compare-and-swap, whose responses may be lost and which others may write."""
+    """Stand-in for the platform's store: one key with compare-and-swap.
+
+    Requests and responses may be lost, and other operators may write in between.
+    """
 
     def __init__(self) -> None:
         self.value: bytes | None = None
         self.revision = 0
-        self.lose: list[str] = []
-        self.between: list[Any] = []
+        self.failures: list[str] = []
+        self.writes_between: list[Any] = []
 
     async def get(self, key: str) -> KeyValue | None:
         """Return the value; another operator may write immediately afterwards."""
         found = KeyValue(key, self.value, self.revision) if self.value is not None else None
-        if self.between:
-            self.between.pop()()
+        if self.writes_between:
+            self.writes_between.pop()()
         return found
 
     async def swap(self, key: str, expected: int, value: bytes, lease: int = 0) -> None:
         """Write the value, or lose the request or its response."""
-        fate = self.lose.pop() if self.lose else ""
-        if fate == "request":
+        failure = self.failures.pop() if self.failures else ""
+        if failure == "request":
             raise PlatformUnavailable("request lost")
         if expected != self.revision:
             raise CasConflict(key)
         self.value, self.revision = value, self.revision + 1
-        if fate == "answer":
+        if failure == "answer":
             raise PlatformUnavailable("response lost")
 
 
 class TableMachine(RuleBasedStateMachine):
-    """Operators edit, daemons spread; the oracle knows each accepted edit."""
+    """Operators edit a table, daemons gossip its versions; the oracle records accepted edits."""
 
     @initialize(seed=st.integers(0, 99))
     def begin(self, seed: int) -> None:
-        """Start with one service and daemons that know nothing."""
+        """Store the table of one service; no daemon has a version of it yet."""
         self.platform = FakePlatform()
         self.editor = TableEditor(self.platform, "operator", lambda: "t")  # type: ignore[arg-type]
         rows = {"service": {}, "servers": {"a": {}, "b": {}}}
         self._run(self.editor.apply(SERVICE, ServiceTable.from_mapping(SERVICE, rows).to_mapping()))
-        self.spreads = [RecordGossip(Random(seed + i)) for i in range(DAEMONS)]
+        self.gossips = [RecordGossip(Random(seed + i)) for i in range(DAEMONS)]
         self.seen = [0] * DAEMONS
         self.now = 0.0
         self.expected: dict[str, Any] = dict(self._table().to_mapping()["service"])
@@ -78,7 +81,7 @@
         return ServiceTable.from_bytes(SERVICE, self.platform.value)
 
     def _write_directly(self, name: str, value: float) -> None:
-        """Another operator's edit, made between a read and a write."""
+        """Write an edit of another operator between a read and a write."""
         table = self._table()
         rows = table.to_mapping()
         rows["service"][name] = value
@@ -93,10 +96,10 @@
           fate=st.sampled_from(["", "", "request", "answer"]),
           other=st.none() | st.tuples(st.sampled_from(FIELDS), st.integers(51, 99)))  # fmt: skip
     def edit(self, name: str, value: int, fate: str, other: tuple[str, int] | None) -> None:
-        """Edit a field, with a lost message or a racing operator."""
-        self.platform.lose = [fate] if fate else []
+        """Edit a field; a message may be lost, or another operator may edit concurrently."""
+        self.platform.failures = [fate] if fate else []
         if other is not None:
-            self.platform.between = [lambda: self._write_directly(*other)]
+            self.platform.writes_between = [lambda: self._write_directly(*other)]
         before = self._table().version
         try:
             applied = self._run(self.editor.edit(SERVICE, "service", {name: value}))
@@ -108,7 +111,7 @@
         except PlatformDown:
             assert fate == "request", "a write that took effect was reported as failed"
         finally:
-            self.platform.lose, self.platform.between = [], []
+            self.platform.failures, self.platform.writes_between = [], []
         table = self._table()
         assert table.version >= before
         self.versions.append(table.version)
@@ -116,57 +119,57 @@
 
     @rule(daemon=st.integers(0, DAEMONS - 1))
     def learn(self, daemon: int) -> None:
-        """A daemon reads the platform."""
+        """A daemon reads the table from the platform's store."""
         assert self.platform.value is not None
-        self.spreads[daemon].offer(KEY, self._table().version, self.platform.value)
+        self.gossips[daemon].offer(KEY, self._table().version, self.platform.value)
 
     @rule(start=st.integers(0, DAEMONS - 1), end=st.integers(0, DAEMONS - 1))
     def exchange(self, start: int, end: int) -> None:
-        """Two daemons compare digests; afterwards neither is behind the other."""
+        """Two daemons compare digests; afterwards both have the same version."""
         if start != end:
-            self._talk(start, end, self.spreads[start].short_digest())
-            assert self.spreads[start].version(KEY) == self.spreads[end].version(KEY)
+            self._exchange_messages(start, end, self.gossips[start].short_digest())
+            assert self.gossips[start].version(KEY) == self.gossips[end].version(KEY)
 
     @rule(start=st.integers(0, DAEMONS - 1), end=st.integers(0, DAEMONS - 1))
     def announce(self, start: int, end: int) -> None:
-        """A daemon announces what it knows; the other one is not behind it afterwards."""
-        if start != end and self.spreads[start].get(KEY) is not None:
+        """A daemon announces its version; afterwards the other one has no older version."""
+        if start != end and self.gossips[start].get(KEY) is not None:
             self.now += 1.0
-            self._talk(start, end, self.spreads[start].announce(KEY))
-            assert self.spreads[end].version(KEY) >= self.spreads[start].version(KEY)
+            self._exchange_messages(start, end, self.gossips[start].announce(KEY))
+            assert self.gossips[end].version(KEY) >= self.gossips[start].version(KEY)
 
-    def _talk(self, start: int, end: int, first: Any) -> None:
+    def _exchange_messages(self, start: int, end: int, first: Any) -> None:
         queue = [(end, start, first)]
         while queue:
-            to, back, message = queue.pop(0)
-            for answer in self._answers(to, message):
-                queue.append((back, to, answer))
+            receiver, sender, message = queue.pop(0)
+            for reply in self._replies(receiver, message):
+                queue.append((sender, receiver, reply))
 
-    def _answers(self, to: int, message: Any) -> list[Any]:
-        spread = self.spreads[to]
+    def _replies(self, receiver: int, message: Any) -> list[Any]:
+        gossip = self.gossips[receiver]
         if isinstance(message, Push):
-            spread.offer(message.key, message.version, message.value)
+            gossip.offer(message.key, message.version, message.value)
             return []
         if isinstance(message, Announce):
-            return list(spread.on_announce(message, self.now))
+            return list(gossip.on_announce(message, self.now))
         if isinstance(message, Pull):
-            return list(spread.on_pull(message))
+            return list(gossip.on_pull(message))
         assert isinstance(message, Digest)
-        return list(spread.on_digest(message))
+        return list(gossip.on_digest(message))
 
     @rule(daemon=st.integers(0, DAEMONS - 1), back=st.integers(1, 5))
     def stale_push(self, daemon: int, back: int) -> None:
         """An old version arrives late."""
-        version = max(1, self.spreads[daemon].version(KEY) - back)
-        self.spreads[daemon].offer(KEY, version, b"stale")
+        version = max(1, self.gossips[daemon].version(KEY) - back)
+        self.gossips[daemon].offer(KEY, version, b"stale")
 
     @invariant()
     def never_back(self) -> None:
-        """No daemon's version ever goes back, nor does it hold a stale value."""
-        for number, spread in enumerate(getattr(self, "spreads", [])):
-            version = spread.version(KEY)
+        """A daemon's version never decreases, and a table is stored under its own version."""
+        for number, gossip in enumerate(getattr(self, "gossips", [])):
+            version = gossip.version(KEY)
             assert version >= self.seen[number]
             self.seen[number] = version
-            stored = spread.get(KEY)
+            stored = gossip.get(KEY)
             if stored is not None and stored.value != b"stale":
                 assert ServiceTable.from_bytes(SERVICE, stored.value).version == version
--- a/tests/fuzz/teeth.py
+++ b/tests/fuzz/teeth.py
@@ -93,7 +93,9 @@
         self._released = self._record.version
 
 
-class _SameIdentity(OwnershipMachine):
+class _SameIdentityMachine(OwnershipMachine):
+    """Gives a restarted daemon the identity of its predecessor, which is its address alone."""
+
     same_identity = True
 
 
@@ -134,7 +136,7 @@
     ]
     mutations.append(("owner's lease outlasts the witness's", _no_drift_margin, OwnershipMachine))
     mutations.append(("witness identity by address", lambda: _patched(assignment, "__doc__", ""),
-                 _SameIdentity))  # fmt: skip
+                 _SameIdentityMachine))  # fmt: skip
     return mutations
 
 
