--- a/features/steps/cell_record_steps.py
+++ b/features/steps/cell_record_steps.py
@@ -15,7 +15,7 @@
 SERVICE = "premview"
 
 
-def _names(count: int) -> list[str]:
+def member_names(count: int) -> list[str]:
     return [f"i{number}" for number in range(count)]
 
 
@@ -23,22 +23,24 @@
     return Joiner(name, f"at-{name}", f"s-{name}", f"domain-{name}", f"peer-{name}", "")
 
 
-def _table(names: list[str]) -> ServiceTable:
+def service_table(names: list[str]) -> ServiceTable:
     servers = {f"s-{name}": ServerRow(f"s-{name}") for name in names}
     return ServiceTable(ServiceRow(SERVICE, Kind.KEYED, shards_per_server=4), servers, version=1)
 
 
-def _planned(record: CellRecord, table: ServiceTable, **view: Any) -> CellRecord:
+def plan_next_record(record: CellRecord, table: ServiceTable, **view: Any) -> CellRecord:
     planned = next_record(record, CellView(table, **view), f"w{record.version}")
     assert planned is not None
     return planned
 
 
 def _form_cell(context: Any, count: int) -> None:
-    context.names = _names(count)
-    context.cell_table = _table(context.names)
+    context.names = member_names(count)
+    context.cell_table = service_table(context.names)
     joiners = tuple(_joiner(name) for name in context.names)
-    context.record = _planned(CellRecord(SERVICE, SERVICE), context.cell_table, joiners=joiners)
+    context.record = plan_next_record(
+        CellRecord(SERVICE, SERVICE), context.cell_table, joiners=joiners
+    )
 
 
 def _members(record: CellRecord) -> dict[str, Member]:
@@ -53,7 +55,7 @@
 def all_lost(context: Any, count: int) -> None:
     _form_cell(context, count)
     lost = frozenset(context.names)
-    context.record = _planned(context.record, context.cell_table, lost=lost)
+    context.record = plan_next_record(context.record, context.cell_table, lost=lost)
     assert set(_states(context.record).values()) == {MemberState.RETIRED}
 
 
@@ -108,7 +110,7 @@
 @given("a cell of {count:d} members of which one was declared lost")
 def one_lost(context: Any, count: int) -> None:
     _form_cell(context, count)
-    context.record = _planned(
+    context.record = plan_next_record(
         context.record, context.cell_table, lost=frozenset({context.names[0]})
     )
 
@@ -117,14 +119,16 @@
 def some_report(context: Any, count: int) -> None:
     context.reporting = context.names[:count]
     joiners = tuple(_joiner(name) for name in context.reporting)
-    context.planned = _planned(context.record, context.cell_table, joiners=joiners)
+    context.planned = plan_next_record(context.record, context.cell_table, joiners=joiners)
 
 
 @when("{count:d} of them report again although the first of them is known to have ended")
 def one_ended(context: Any, count: int) -> None:
     joiners = tuple(_joiner(name) for name in context.names[:count])
     ended = frozenset({context.names[0]})
-    context.planned = _planned(context.record, context.cell_table, joiners=joiners, ended=ended)
+    context.planned = plan_next_record(
+        context.record, context.cell_table, joiners=joiners, ended=ended
+    )
 
 
 @when("that one reports again and the next record is planned")
--- a/features/steps/contact_steps.py
+++ b/features/steps/contact_steps.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from behave import given, then, when
-from cell_record_steps import SERVICE, _joiner, _names, _planned, _table
+from cell_record_steps import SERVICE, _joiner, member_names, plan_next_record, service_table
 
 from pearward_coordination.contact import CellContact
 from pearward_coordination.messages import PeerId
@@ -15,9 +15,9 @@
 
 @given("a daemon of a cell of {count:d}, of which {retired:d} others are given up")
 def cell(context: Any, count: int, retired: int) -> None:
-    names = _names(count)
+    names = member_names(count)
     joiners = tuple(_joiner(name) for name in names)
-    formed = _planned(CellRecord(SERVICE, SERVICE), _table(names), joiners=joiners)
+    formed = plan_next_record(CellRecord(SERVICE, SERVICE), service_table(names), joiners=joiners)
     members = [
         replace(m, state=MemberState.RETIRED) if 0 < i <= retired else m
         for i, m in enumerate(formed.members)
--- a/features/steps/coordinator_role_steps.py
+++ b/features/steps/coordinator_role_steps.py
@@ -92,12 +92,12 @@
     context.me = PeerId("i0", "10.0.0.0:1")
     role = f'{{"incarnation": "{context.me.incarnation}", "address": "{context.me.address}"}}'
     context.store.put(f"coordinator/{SERVICE}", role.encode())
-    context.writer = CellCoordinator(
+    context.cell_coordinator = CellCoordinator(
         Clock(), context.store, context.daemon, context.me, SERVICE, SERVICE, LeaseTiming(),
         1, lambda successor: None,
     )  # fmt: skip
-    context.writer.start()
-    context.writer.tick()
+    context.cell_coordinator.start()
+    context.cell_coordinator.tick()
     assert context.daemon.known == context.first_record
 
 
@@ -134,8 +134,8 @@
 def _report(context: Any, number: int, adopted: int) -> None:
     member = _member(number, len(context.first_record.members))
     peer = PeerId(member.incarnation, member.peer)
-    context.writer.core.peer_seen(peer)
-    context.writer.on_heartbeat(peer, _heartbeat(context, number, adopted))
+    context.cell_coordinator.core.peer_seen(peer)
+    context.cell_coordinator.on_heartbeat(peer, _heartbeat(context, number, adopted))
 
 
 @when("only its own daemon reports for {seconds:g} seconds, and reports that it hears no other")
@@ -177,7 +177,7 @@
 @then("the first daemon is a member again")
 def member_again(context: Any) -> None:
     for _ in range(3):
-        context.writer.tick()
+        context.cell_coordinator.tick()
     record = CellRecord.from_bytes(context.store.value(KEY))
     assert record.member("i0") is not None, [m.incarnation for m in record.members]
     assert record.version > context.without_first.version
--- a/features/steps/lease_term_steps.py
+++ b/features/steps/lease_term_steps.py
@@ -3,7 +3,7 @@
 from typing import Any
 
 from behave import given, then, when
-from cell_record_steps import SERVICE, _joiner, _planned, _table
+from cell_record_steps import SERVICE, _joiner, plan_next_record, service_table
 
 from pearward_coordination.lease import LeaseTiming, OwnerLease
 from pearward_coordination.ownership import Ownership, Verdict
@@ -27,7 +27,7 @@
 @given("an owner that serves all its keys")
 def serving(context: Any) -> None:
     joiners = (_joiner(NAME),)
-    record = _planned(CellRecord(SERVICE, SERVICE), _table([NAME]), joiners=joiners)
+    record = plan_next_record(CellRecord(SERVICE, SERVICE), service_table([NAME]), joiners=joiners)
     name = record.members[0].incarnation
     context.now = 0.0
     context.lease = OwnerLease(TIMING)
--- a/features/steps/store_fallback_steps.py
+++ b/features/steps/store_fallback_steps.py
@@ -148,7 +148,7 @@
     context.waiting = record.next_version("other:1", shards=shards)
     context.store.put(KEY, context.waiting.to_bytes())
     context.daemon.record_written(context.waiting, context.waiting.to_bytes())
-    context.writer.tick()
+    context.cell_coordinator.tick()
 
 
 @when("the fourth writes its release to the store")
@@ -164,5 +164,5 @@
     began = boot_time()
     for step in range(int(seconds / STEP_S)):
         with _at(began + step * STEP_S):
-            context.writer.tick()
+            context.cell_coordinator.tick()
     assert context.daemon.known == context.released, context.daemon.known
--- a/features/steps/witness_change_steps.py
+++ b/features/steps/witness_change_steps.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from behave import given, then, when
-from cell_record_steps import SERVICE, _joiner, _planned, _table
+from cell_record_steps import SERVICE, _joiner, plan_next_record, service_table
 
 from pearward_coordination.assignment import CellView, next_record
 from pearward_state.records import CellRecord
@@ -69,9 +69,9 @@
 @given('an owner whose witnesses are being changed from "{former}" to "{present}"')
 def changing(context: Any, former: str, present: str) -> None:
     names = former.split()
-    context.cell_table = _table(names)
+    context.cell_table = service_table(names)
     joiners = tuple(_joiner(name) for name in names)
-    formed = _planned(CellRecord(SERVICE, SERVICE), context.cell_table, joiners=joiners)
+    formed = plan_next_record(CellRecord(SERVICE, SERVICE), context.cell_table, joiners=joiners)
     first = replace(
         formed.members[0], witnesses=tuple(present.split()), former_witnesses=tuple(names)
     )
