--- a/features/steps/witness_change_steps.py
+++ b/features/steps/witness_change_steps.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from behave import given, then, when
-from cell_record_steps import SERVICE, _joiner, _planned, _table
+from cell_record_steps import SERVICE, _joiner, plan_next_record, service_table
 
 from pearward_coordination.assignment import CellView, next_record
 from pearward_state.records import CellRecord
@@ -54,7 +54,7 @@
     frozen.paused = True
     _step(context, FROZEN_S)
     for other in world.nodes[1:]:
-        world.cut |= {(first.address, other.address), (other.address, first.address)}
+        world.cut_links |= {(first.address, other.address), (other.address, first.address)}
     frozen.paused = False
 
 
@@ -69,9 +69,9 @@
 @given('an owner whose witnesses are being changed from "{former}" to "{present}"')
 def changing(context: Any, former: str, present: str) -> None:
     names = former.split()
-    context.cell_table = _table(names)
+    context.cell_table = service_table(names)
     joiners = tuple(_joiner(name) for name in names)
-    formed = _planned(CellRecord(SERVICE, SERVICE), context.cell_table, joiners=joiners)
+    formed = plan_next_record(CellRecord(SERVICE, SERVICE), context.cell_table, joiners=joiners)
     first = replace(
         formed.members[0], witnesses=tuple(present.split()), former_witnesses=tuple(names)
     )
@@ -112,7 +112,7 @@
 def others_end(context: Any) -> None:
     world = context.world
     for node in world.nodes[1:]:
-        node.dead = True
+        node.ended = True
     _step(context, 2.0)
     for node in world.nodes[1:]:
         world.nodes[0].role.core.force_release(node.incarnation)
