--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Everything a fresh machine needs is set up by the first target that is run.
+# The first target that is run installs everything that a new machine needs.
 
 PYTHON ?= python3
 VENV := .venv
--- a/deploy/build.sh
+++ b/deploy/build.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Puts the pinned libraries and pearward's packages, compiled, under target/deps.
+# Installs the pinned libraries and pearward's packages, compiled, in target/deps.
 set -eu
 deps=target/deps
 pins=requirements/run.txt
@@ -12,7 +12,7 @@
     packages/daemon platform; do
     for package in "$folder"/src/*/; do
         name=$(basename "$package")
-        # What is the same stays: daemons that run load modules late.
+        # Unchanged packages are kept, as running daemons may still import modules from them.
         diff -rq --exclude=__pycache__ "$package" "$deps/$name" > /dev/null 2>&1 && continue
         rm -rf "${deps:?}/$name"
         cp -r "$package" "$deps/$name"
