--- a/features/environment.py
+++ b/features/environment.py
@@ -68,7 +68,7 @@
 def before_scenario(context: Any, scenario: Any) -> None:
     """Give each scenario its own caller and empty notes."""
     context.caller = Caller()
-    context.answers = []
+    context.responses = []
     context.notes = {}
 
 
--- a/features/steps/coordinator_role_steps.py
+++ b/features/steps/coordinator_role_steps.py
@@ -198,10 +198,16 @@
     context.store = MemoryStore()
     if holder in HOLDERS:
         context.store.put(ROLE_KEY, HOLDERS[holder])
-    context.taken = []
+    context.taken_leases = []
     me = PeerId("i0", "10.0.0.0:1")
     context.election = CoordinatorElection(
-        Clock(), context.store, me, SERVICE, Random(1), lambda address: None, context.taken.append
+        Clock(),
+        context.store,
+        me,
+        SERVICE,
+        Random(1),
+        lambda address: None,
+        context.taken_leases.append,
     )
 
 
@@ -211,18 +217,18 @@
         with patch(
             "pearward_daemon.coordinator_election.boot_time", return_value=1000.0 + step * STEP_S
         ):
-            if not context.taken:
+            if not context.taken_leases:
                 context.election.tick(0, 0.0, may_replace=hears != "hears nobody")
 
 
 @then("it takes the role")
 def takes(context: Any) -> None:
-    assert context.taken
+    assert context.taken_leases
 
 
 @then("it does not take the role")
 def does_not_take(context: Any) -> None:
-    assert not context.taken
+    assert not context.taken_leases
     assert context.store.value(ROLE_KEY) == HOLDERS["another one holds the role"]
 
 
--- a/features/steps/foreign_steps.py
+++ b/features/steps/foreign_steps.py
@@ -276,7 +276,7 @@
         "another address": orjson.dumps(data | {"peer_address": "10.9.9.9:1"}),
     }[how]
     context.valid_entry = item.value
-    context.before = context.world.holders()
+    context.holders_before = context.world.holders()
     world.store.revision += 1
     world.store.put(Put(key, corrupted, item.lease))
 
@@ -290,7 +290,7 @@
 
 @then("no key changed its holder meanwhile")
 def holders_stay(context: Any) -> None:
-    assert context.world.holders() == context.before
+    assert context.world.holders() == context.holders_before
 
 
 @when("the key map is corrupted and {then_what}")
--- a/features/steps/key_gap_steps.py
+++ b/features/steps/key_gap_steps.py
@@ -57,7 +57,7 @@
       "arrive every {every:g} s, which run {runs:g} s")  # fmt: skip
 def requests_arrive(context: Any, duration: float, left: float, every: float, runs: float) -> None:
     context.handover_wait.start(START)
-    context.refused, context.served, context.held = 0, 0, 0
+    context.refused, context.served, context.waited_then_refused = 0, 0, 0
     for number in range(round(duration / every)):
         arrived_at = number * every
         max_wait_s = context.handover_wait.max_wait_s(left, runs, START + arrived_at)
@@ -66,10 +66,10 @@
         elif arrived_at + max_wait_s >= duration:
             context.served += 1
         else:
-            context.held += 1
+            context.waited_then_refused += 1
 
 
 @then("{served:d} of {all_:d} are served, and the others were refused at once")
 def outcome(context: Any, served: int, all_: int) -> None:
-    assert context.held == 0, context.held
+    assert context.waited_then_refused == 0, context.waited_then_refused
     assert (context.served, context.served + context.refused) == (served, all_), context.served
--- a/features/steps/keys_come_steps.py
+++ b/features/steps/keys_come_steps.py
@@ -100,4 +100,4 @@
 @then("no more than {most:d} calls were ever in flight")
 def few_in_flight(context: Any, most: int) -> None:
     grants = context.world.nodes[0].grants
-    assert 0 < grants.most_under_way <= most, grants.most_under_way
+    assert 0 < grants.max_in_flight <= most, grants.max_in_flight
--- a/features/steps/mesh_drain_steps.py
+++ b/features/steps/mesh_drain_steps.py
@@ -75,7 +75,7 @@
     mesh.control_target(context.cold, "cold", json.dumps({"seconds": 30.0}))
     # Its next heartbeat reports it cold; earlier requests count against the limit for a second.
     time.sleep(1.5)
-    context.before = _ran(context, context.cold)
+    context.runs_before = _ran(context, context.cold)
     context.replies = []
 
     def send(number: int) -> None:
@@ -94,7 +94,7 @@
 
 @then("it got at most {most:d} of them in any second")
 def cold_rate_limited(context: Any, most: int) -> None:
-    runs = context.mesh.state(context.cold)["ran"][context.before :]
+    runs = context.mesh.state(context.cold)["ran"][context.runs_before :]
     times = sorted(run["at"] for run in runs)
     for begin in times:
         # The limit counts requests as they are sent, and their transit delays differ.
--- a/features/steps/mesh_key_map_steps.py
+++ b/features/steps/mesh_key_map_steps.py
@@ -217,8 +217,11 @@
 @when("one key of the second owner gets {one:d} requests a second and one of the first "
       "owner {two:d}")  # fmt: skip
 def two_hot_keys(context: Any, one: int, two: int) -> None:
-    context.hot = [context.map.owned_by("t1")[0].first + 5, context.map.owned_by("t0")[0].first + 5]
-    rates = sorted(zip(context.hot, (one, two), strict=True))
+    context.hot_keys = [
+        context.map.owned_by("t1")[0].first + 5,
+        context.map.owned_by("t0")[0].first + 5,
+    ]
+    rates = sorted(zip(context.hot_keys, (one, two), strict=True))
     context.load = PlannedLoad(tuple(KeyRate(key, float(rate)) for key, rate in rates), 3.0)
 
 
@@ -227,7 +230,7 @@
 def second_hot_key_moves(context: Any) -> None:
     planned = _planned(context)
     assert planned is not None
-    assert [planned.range_of(key).owner for key in context.hot] == ["t1", "t2"]
+    assert [planned.range_of(key).owner for key in context.hot_keys] == ["t1", "t2"]
 
 
 @given("a key map of {owners:d} owners with {ranges:d} ranges")
--- a/features/steps/mesh_ownership_steps.py
+++ b/features/steps/mesh_ownership_steps.py
@@ -59,7 +59,7 @@
     world = _world(context, count)
     world.run(8.0)
     assert world.served() == len(KEYS), world.served()
-    context.before = world.holders()
+    context.holders_before = world.holders()
 
 
 @when("daemon {number:d} is isolated from its peers")
@@ -127,7 +127,7 @@
 @then("{seconds:g} s later no key has changed its holder either")
 def still_held(context: Any, seconds: float) -> None:
     _run(context, seconds)
-    assert context.world.holders() == context.before
+    assert context.world.holders() == context.holders_before
 
 
 @when("daemon {number:d} restarts and gets no key map from the store")
@@ -218,7 +218,7 @@
     world = context.world
     node = world.nodes[number]
     first = world.key_of(node)
-    context.hot = range(first, first + 200)
+    context.hot_keys = range(first, first + 200)
     for _ in range(round(seconds * 10)):
         world.load(node, first, rate // 10)
         for other in world.nodes:
@@ -246,7 +246,7 @@
 
     send_load(4.0)
     # Moves that balanced the load before the stop are not counted as its effect.
-    context.before = world.holders()
+    context.holders_before = world.holders()
     context.unserved.clear()
     node.daemon.core.stop()
     send_load(STOPPING_S)
@@ -313,7 +313,7 @@
     world = context.world
     _run(context, 1.5)
     owners = {
-        node.target.id for key in context.hot for node in world.nodes if node.target.holds(key)
+        node.target.id for key in context.hot_keys for node in world.nodes if node.target.holds(key)
     }
     assert len(owners) > 1, owners
 
@@ -339,7 +339,7 @@
 
 @then("no key changed its holder")
 def unmoved(context: Any) -> None:
-    assert context.world.holders() == context.before
+    assert context.world.holders() == context.holders_before
 
 
 @then("no key ever had two holders")
@@ -366,25 +366,25 @@
     case = context.case
     context.grant_mode = case.way
     # With the rule in force the same case must violate nothing.
-    _run_case(context, case.play)
-    assert not context.found, context.found
-    with mock.patch.object(case.owner, case.name, case.without):
-        _run_case(context, case.play)
+    _run_case(context, case.scenario)
+    assert not context.violation, context.violation
+    with mock.patch.object(case.owner, case.attribute, case.replacement):
+        _run_case(context, case.scenario)
 
 
 def _run_case(context: Any, scenario: Callable[[World], None]) -> None:
     world = _world(context, 4)
-    context.found = ""
+    context.violation = ""
     try:
         world.run(8.0)
         scenario(world)
     except AssertionError as error:
-        context.found = str(error)
+        context.violation = str(error)
 
 
 @then("two holders are found")
 def two_holders(context: Any) -> None:
-    assert context.found
+    assert context.violation
 
 
 # -- keys by calls ------------------------------------------------------------------------
@@ -400,9 +400,9 @@
 def seen_higher(context: Any, number: int) -> None:
     world = context.world
     node = world.nodes[number]
-    node.target.seen(0, KEY_SPACE - 1, 1_000_000)
-    context.offers = world.count_offers(node)
-    context.pulls = world.count_pulls(node)
+    node.target.note_other_grant(0, KEY_SPACE - 1, 1_000_000)
+    context.offers = world.record_grants(node)
+    context.map_requests = world.record_map_requests(node)
     world.run(3.0)
 
 
@@ -412,7 +412,7 @@
 )
 def asks_for_map(context: Any, number: int, most: int) -> None:
     key_map = context.world.nodes[number].daemon.core.key_maps.of("roster-app")
-    assert context.pulls, "the daemon asked for no newer map"
+    assert context.map_requests, "the daemon asked for no newer map"
     assert all(row.fence <= key_map.fence for row in context.offers), context.offers
     rows = len({(row.first, row.last) for row in context.offers})
     assert len(context.offers) <= most * 3 * max(1, rows), len(context.offers)
--- a/features/steps/mesh_steps.py
+++ b/features/steps/mesh_steps.py
@@ -388,10 +388,10 @@
 )
 def request_after_stop(context: Any, prefix: str, allowed: int, seconds: float) -> None:
     node = context.stopped = _nodes(context, POOLED)[0]
-    context.asked = _id(context)
+    context.request_id_after_stop = _id(context)
     node.daemon.send_signal(signal.SIGTERM)
     time.sleep(seconds)
-    headers = {"Request-Id": context.asked, "Deadline-Ms": str(allowed * 1000)}
+    headers = {"Request-Id": context.request_id_after_stop, "Deadline-Ms": str(allowed * 1000)}
     context.reply = _cluster(context).call(node, f"{prefix}x", headers=headers)
 
 
@@ -402,7 +402,7 @@
         run
         for node in _cluster(context).nodes
         for run in _cluster(context).state(node)["ran"]
-        if run["id"] == context.asked
+        if run["id"] == context.request_id_after_stop
     ]
     assert least * 1000 <= int(run["deadline"]) <= most * 1000, run
 
@@ -537,11 +537,11 @@
 @when("a daemon is suspended, {count:d} callers send requests to it and disconnect, and it resumes")
 def disconnect_while_suspended(context: Any, count: int) -> None:
     node = _nodes(context, POOLED)[0]
-    context.asked = [_id(context) for _ in range(count)]
+    context.request_ids = [_id(context) for _ in range(count)]
     _keep_connections(context, node)
     node.daemon.send_signal(signal.SIGSTOP)
     try:
-        for request_id in context.asked:
+        for request_id in context.request_ids:
             with socket.create_connection((node.ip, CALLERS)) as caller:
                 caller.sendall(
                     f"GET /{POOLED}/safe/left HTTP/1.1\r\nHost: {HOST}\r\n"
@@ -576,12 +576,16 @@
 @then("no target has run any of them")
 def none_ran(context: Any) -> None:
     wait_until(
-        lambda: set(context.asked) <= _disconnected(context), "the disconnections to be logged", 10
+        lambda: set(context.request_ids) <= _disconnected(context),
+        "the disconnections to be logged",
+        10,
     )
     ran = {r["id"] for n in _cluster(context).nodes for r in _cluster(context).state(n)["ran"]}
-    assert not ran.intersection(context.asked), ran.intersection(context.asked)
+    assert not ran.intersection(context.request_ids), ran.intersection(context.request_ids)
 
 
 @then("its logs say that each caller had disconnected")
 def disconnections_logged(context: Any) -> None:
-    assert set(context.asked) <= _disconnected(context), set(context.asked) - _disconnected(context)
+    assert set(context.request_ids) <= _disconnected(context), set(
+        context.request_ids
+    ) - _disconnected(context)
--- a/features/steps/mesh_store_steps.py
+++ b/features/steps/mesh_store_steps.py
@@ -203,7 +203,7 @@
     assert len(watchers) == 3, len(watchers)
     fleet.lost = {f.peer.address for f in watchers}
     fleet.followers = [f for f in fleet.followers if f not in watchers]
-    context.before = [f.written for f in fleet.followers]
+    context.written_before = [f.written for f in fleet.followers]
     context.lost_at = fleet.clock.seconds()
     with _virtual_time(fleet):
         fleet.run(seconds)
--- a/features/steps/new_service_steps.py
+++ b/features/steps/new_service_steps.py
@@ -39,13 +39,13 @@
         except OSError:
             # The daemon does not listen yet.
             continue
-        context.answers.append(response)
+        context.responses.append(response)
         until = until or time.monotonic() + seconds
 
 
 @then("each request is served, or not run with a retry delay")
 def served_or_retryable(context: Any) -> None:
-    for response in context.answers:
+    for response in context.responses:
         retryable = response.status == 503 and response.outcome == "not-run"
         assert response.status == 200 or (retryable and response.headers.get("retry-after")), (
             response
@@ -54,7 +54,7 @@
 
 @then("the last request is served")
 def last_served(context: Any) -> None:
-    assert context.answers[-1].status == 200, context.answers[-1]
+    assert context.responses[-1].status == 200, context.responses[-1]
 
 
 @when("its readiness is polled until it is ready")
@@ -80,7 +80,7 @@
 
 def _ask_each(context: Any, service: str, **options: Any) -> None:
     for node in context.cluster.nodes:
-        context.answers.append(
+        context.responses.append(
             context.caller.call(
                 node.caller, service, headers={"Pearward-Deadline-Ms": "300"}, **options
             )
@@ -99,14 +99,14 @@
 
 @then("no response says that the service does not exist")
 def none_unknown(context: Any) -> None:
-    assert context.answers
-    for response in context.answers:
+    assert context.responses
+    for response in context.responses:
         assert response.status != 404 and response.reason not in UNEXPECTED_REASONS, response
 
 
 @then("that request is not run, with a retry delay")
 def not_run_yet(context: Any) -> None:
-    response = context.answers[-1]
+    response = context.responses[-1]
     assert (response.status, response.outcome) == (503, "not-run"), response
     assert int(response.headers["retry-after"]) >= 1, response
 
@@ -116,7 +116,7 @@
     before = context.cluster.platform_counts()[STORE_READ]
     address = context.cluster.nodes[0].caller
     for number in range(count):
-        context.answers.append(context.caller.call(address, f"made-up-{number}"))
+        context.responses.append(context.caller.call(address, f"made-up-{number}"))
     context.notes["reads"] = context.cluster.platform_counts()[STORE_READ] - before
 
 
@@ -127,7 +127,7 @@
 
 @then("none of these requests was served")
 def none_served(context: Any) -> None:
-    for response in context.answers:
+    for response in context.responses:
         assert response.status in (404, 503) and response.outcome == "not-run", response
 
 
--- a/features/steps/overload_steps.py
+++ b/features/steps/overload_steps.py
@@ -111,14 +111,14 @@
 
 @given("callers that allow {seconds:g} s for their first attempt")
 def constant_callers(context: Any, seconds: float) -> None:
-    context.usual = RetryAgeEstimator()
+    context.retry_age = RetryAgeEstimator()
     context.now = 100.0
     context.allow = lambda: seconds
 
 
 @given("callers that allow between {low:g} s and {high:g} s")
 def varied_callers(context: Any, low: float, high: float) -> None:
-    context.usual = RetryAgeEstimator()
+    context.retry_age = RetryAgeEstimator()
     context.now = 100.0
     rng = Random(1)
     context.allow = lambda: rng.uniform(low, high)
@@ -146,18 +146,18 @@
 def _arrive(context: Any, count: int, over_s: float) -> None:
     for _ in range(count):
         context.now += over_s / count
-        context.usual.age_s(context.allow(), context.now)
+        context.retry_age.age_s(context.allow(), context.now)
 
 
 @then("the retry age of one that allows {seconds:g} s is {age:g} s")
 def has_retry_age(context: Any, seconds: float, age: float) -> None:
-    found = context.usual.age_s(seconds, context.now)
+    found = context.retry_age.age_s(seconds, context.now)
     assert abs(found - age) < 1e-9, found
 
 
 @then("one that allows {seconds:g} s counts as a first attempt")
 def is_first_attempt(context: Any, seconds: float) -> None:
-    assert context.usual.age_s(seconds, context.now) == 0.0
+    assert context.retry_age.age_s(seconds, context.now) == 0.0
 
 
 # -- waiting ----------------------------------------------------------------------------------
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -129,7 +129,7 @@
 
 @given("{count:d} targets, of which a crashed one is available again after {restart:g} s")
 def targets(context: Any, count: int, restart: float) -> None:
-    context.play = (count, restart)
+    context.target_settings = (count, restart)
     context.rule = QuarantineRule()
 
 
@@ -142,7 +142,7 @@
       "{count:d} harmless ones")  # fmt: skip
 def simulate(context: Any, seconds: int, every: float, count: int) -> None:
     context.harmless = {f"good-{number}" for number in range(count)}
-    keys = context.keys = _Simulation(*context.play, context.rule)
+    keys = context.keys = _Simulation(*context.target_settings, context.rule)
     ticks = round(every / TICK_S)
     for tick in range(round(seconds / TICK_S)):
         if tick % ticks == 0:
@@ -207,7 +207,7 @@
     _note_crashes(context, *(_record(number, *asked[number]) for number in range(lost)))
     # The lost requests are retried at the others: each of these runs some from every lost target.
     everything = [content for contents in asked for content in contents]
-    context.asked = everything
+    context.retried_contents = everything
     for number in range(again):
         _note_crashes(context, _record(lost + number, *everything[number::lost]))
 
@@ -215,7 +215,9 @@
 @then("no request is refused")
 def no_request_refused(context: Any) -> None:
     assert context.quarantine.refused(context.now) == 0
-    assert all(not context.quarantine.left_s(each, context.now) for each in context.asked)
+    assert all(
+        not context.quarantine.left_s(each, context.now) for each in context.retried_contents
+    )
 
 
 @when("a target completes it")
--- a/features/steps/request_steps.py
+++ b/features/steps/request_steps.py
@@ -23,7 +23,7 @@
     began = time.monotonic()
     response = context.caller.call(address, service, key, **options)
     context.notes["took_s"] = time.monotonic() - began
-    context.answers.append(response)
+    context.responses.append(response)
     return response
 
 
@@ -45,10 +45,10 @@
 def all_served(context: Any) -> None:
     bad = [
         a
-        for a in context.answers
+        for a in context.responses
         if not (a.outcome == "served" and a.complete and a.matches_request)
     ]
-    assert context.answers and not bad, bad[:3]
+    assert context.responses and not bad, bad[:3]
 
 
 @then("all runs of a key were at one server")
@@ -66,14 +66,14 @@
 
 @when("the same request is sent to the owner that the response names")
 def send_named(context: Any) -> None:
-    owner = context.answers[-1].headers["pearward-owner"]
+    owner = context.responses[-1].headers["pearward-owner"]
     _call(context, owner, "roster-app", "crew-1")
     context.notes["asked"] = owner
 
 
 @then("the last response names the daemon that sent it")
 def names_itself(context: Any) -> None:
-    assert context.answers[-1].headers["pearward-owner"] == context.notes["asked"]
+    assert context.responses[-1].headers["pearward-owner"] == context.notes["asked"]
 
 
 @when('"{method}" for key "{key}" of "{service}" is sent with "{header}" set to "{value}"')
@@ -86,7 +86,7 @@
 
 @then('the response is {status:d} "{outcome}" because of "{reason}"')
 def response_is(context: Any, status: int, outcome: str, reason: str) -> None:
-    response = context.answers[-1]
+    response = context.responses[-1]
     got = (response.status, response.outcome, response.reason)
     assert got == (status, outcome, reason), (got, response.body)
     if outcome == "not-run":
@@ -240,9 +240,9 @@
 @then("the response is broken off")
 def broken_off(context: Any) -> None:
     if "reset" in context.notes:
-        assert not context.answers
+        assert not context.responses
         return
-    response = context.answers[-1]
+    response = context.responses[-1]
     assert response.status == 200 and not response.complete, response
 
 
@@ -269,13 +269,13 @@
 
 @then('one response is served and the others are "{outcome}"')
 def one_served(context: Any, outcome: str) -> None:
-    outcomes = sorted(a.outcome for a in context.answers)
+    outcomes = sorted(a.outcome for a in context.responses)
     assert outcomes == sorted(["served"] + [outcome] * (len(outcomes) - 1)), outcomes
 
 
 @then("the request with that id ran once")
 def ran_once(context: Any) -> None:
-    request_id = context.answers[0].request_id
+    request_id = context.responses[0].request_id
     runs = [r for r in context.cluster.runs("roster-app") if r["id"] == request_id]
     assert len(runs) == 1, runs
 
--- a/features/steps/size_steps.py
+++ b/features/steps/size_steps.py
@@ -212,7 +212,7 @@
 
 @when("{count:d} requests look for a target")
 def requests_look(context: Any, count: int) -> None:
-    context.asked = _count_probes(context, count, free=0.1)
+    context.probe_count = _count_probes(context, count, free=0.1)
 
 
 def _count_probes(context: Any, count: int, free: float) -> int:
@@ -227,7 +227,7 @@
 
 @then("fewer than {most:d} of them probe for a free slot")
 def few_probe(context: Any, most: int) -> None:
-    assert context.asked < most, context.asked
+    assert context.probe_count < most, context.probe_count
 
 
 @then("once every target has a free slot, of the next {count:d} requests all but at most "
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -20,27 +20,27 @@
 
 @when("a soak with seed {seed:d} runs for {seconds:d} s")
 def play_seed(context: Any, seed: int, seconds: int) -> None:
-    context.broken, context.served = play(seed, seconds)
+    context.violations, context.served = play(seed, seconds)
 
 
 @when("a soak with seed {seed:d} runs for {seconds:d} s with grants by calls")
 def play_by_call(context: Any, seed: int, seconds: int) -> None:
-    context.broken, context.served = play(seed, seconds, by_call=True)
+    context.violations, context.served = play(seed, seconds, by_call=True)
 
 
 @when("a soak with seed {seed:d} runs for {seconds:d} s with requests that crash their targets")
 def play_crashes(context: Any, seed: int, seconds: int) -> None:
-    context.broken, context.served = play(seed, seconds, crashes=True)
+    context.violations, context.served = play(seed, seconds, crashes=True)
 
 
 @when("a soak with seed {seed:d} runs for {seconds:d} s with a store restored from older copies")
 def play_returns(context: Any, seed: int, seconds: int) -> None:
-    context.broken, context.served = play(seed, seconds, returns=True)
+    context.violations, context.served = play(seed, seconds, returns=True)
 
 
 @then("no guarantee is violated and requests were served")
 def no_guarantee_violated(context: Any) -> None:
-    assert not context.broken, context.broken[:5]
+    assert not context.violations, context.violations[:5]
     assert context.served
 
 
@@ -52,7 +52,7 @@
 
 @given("the records of a soak with two requests and no violation")
 def records(context: Any) -> None:
-    context.answers = [
+    context.responses = [
         ResponseRecord("r1", "n1", True, 200, True, True, 10.0, 10.2),
         ResponseRecord("r2", "n1", False, 200, True, True, 11.0, 11.2),
     ]
@@ -68,20 +68,20 @@
 
 def _violations(context: Any) -> list[str]:
     return find_violations(
-        context.answers, context.runs, context.leaves, context.kills, context.disturbances
+        context.responses, context.runs, context.leaves, context.kills, context.disturbances
     )
 
 
 @when('the records are changed to show "{fault}"')
 def records_with_fault(context: Any, fault: str) -> None:
-    answers, runs = context.answers, context.runs
+    responses, runs = context.responses, context.runs
     match fault:
         case "a success with another body":
-            answers[0] = replace(answers[0], intact=False)
+            responses[0] = replace(responses[0], intact=False)
         case "a request run twice":
             runs.append(replace(runs[1], at=11.15))
         case "a refused request that ran":
-            answers[1] = replace(answers[1], status=REFUSED)
+            responses[1] = replace(responses[1], status=REFUSED)
         case "a lower fence after a higher one":
             runs[1] = replace(runs[1], fence=4)
         case "two targets under one fence":
@@ -91,9 +91,9 @@
         case "a request after a leave was acknowledged":
             context.leaves.append(Leave("t1", 7.0))
         case "a request that ran and was not answered":
-            answers[0] = replace(answers[0], status=0, header_received=False, intact=False)
+            responses[0] = replace(responses[0], status=0, header_received=False, intact=False)
         case "an answer that broke off":
-            answers[0] = replace(answers[0], status=0, intact=False)
+            responses[0] = replace(responses[0], status=0, intact=False)
         case "a request that goes on crashing targets":
             crashing_run = Run("r3", "t3", "sheets", "/sheets/safe/bad?spoil=crash", "", 0, 10.0)
             runs += [replace(crashing_run, at=10.0 + second) for second in range(10)]
@@ -113,8 +113,8 @@
 
 @then('exactly one broken promise is told, which names "{name}"')
 def one_violation(context: Any, name: str) -> None:
-    broken = _violations(context)
-    assert len(broken) == 1 and broken[0].startswith(name), broken
+    violations = _violations(context)
+    assert len(violations) == 1 and violations[0].startswith(name), violations
 
 
 @then("no broken promise is told")
--- a/features/steps/store_entry_steps.py
+++ b/features/steps/store_entry_steps.py
@@ -14,7 +14,7 @@
 @when("the store is unavailable for {seconds:g} s and restored from the copy")
 def restore_after_outage(context: Any, seconds: float) -> None:
     world = context.world
-    context.before = world.holders()
+    context.holders_before = world.holders()
     world.return_store(context.copy, seconds)
 
 
@@ -33,7 +33,7 @@
     copy = world.store.copy()
     _write_changes(world, count)
     world.run(1.0)
-    world.store.go_back(copy)
+    world.store.restore(copy)
     world.drain(name)
 
 
@@ -47,7 +47,7 @@
     _write_changes(world, 2)
     world.run(1.0)
     world.freeze(world.nodes[number])
-    world.store.go_back(copy)
+    world.store.restore(copy)
     world.drain(name)
     _write_changes(world, count)
     world.run(0.5)
--- a/features/steps/store_return_steps.py
+++ b/features/steps/store_return_steps.py
@@ -26,7 +26,7 @@
 from pearward_state.keymap import KEY_SPACE, KeyMap
 from pearward_transport.errors import CasConflict
 from tests.fuzz.mesh_targets import SERVICE
-from tests.fuzz.returning_store import Play
+from tests.fuzz.returning_store import RestoreScenario
 
 NOW = 1000.0
 GRANT_MODES = {"heartbeat": GrantMode.HEARTBEAT, "call": GrantMode.CALL}
@@ -59,7 +59,7 @@
     for node in world.nodes:
         world.end_daemon(node)
         world.end_target(node)
-    world.store.go_back(context.copy)
+    world.store.restore(context.copy)
     world.run(seconds)
     for node in world.nodes:
         world.start_target(node)
@@ -81,7 +81,7 @@
     world = context.world
     for node in world.nodes:
         world.end_daemon(node)
-    world.store.go_back(context.copy)
+    world.store.restore(context.copy)
     world.run(seconds)
     for node in world.nodes:
         world.start_daemon(node)
@@ -108,8 +108,8 @@
 def rule_removed(context: Any, rule: str) -> None:
     if rule == "none":
         return
-    owner, name, without = RULES[rule]
-    patch = mock.patch.object(owner, name, without)
+    owner, attribute, replacement = RULES[rule]
+    patch = mock.patch.object(owner, attribute, replacement)
     patch.start()
     context.add_cleanup(patch.stop)
 
@@ -130,7 +130,7 @@
     world = context.world
     isolated = world.nodes[number]
     isolated.cut_from_peers = isolated.cut_from_store = True
-    world.store.go_back(context.copy)
+    world.store.restore(context.copy)
     world.store.remove(member_key(f"instance-{number}"))
     for node in world.nodes:
         if node is not isolated:
@@ -149,17 +149,17 @@
 
 @when("the generated scenario of seed {seed:d} with keys by {way} is run")
 def run_generated(context: Any, seed: int, way: str) -> None:
-    context.play = Play(seed, GRANT_MODES[way])
-    context.broken = ""
+    context.scenario_run = RestoreScenario(seed, GRANT_MODES[way])
+    context.violation = ""
     try:
-        context.play.run()
+        context.scenario_run.run()
     except AssertionError as error:
-        context.broken = f"{error}: {context.play.told}"
+        context.violation = f"{error}: {context.scenario_run.events}"
 
 
 @then("it violates no invariant")
 def violates_nothing(context: Any) -> None:
-    assert not context.broken, context.broken
+    assert not context.violation, context.violation
 
 
 # -- decisions -----------------------------------------------------------------------------
@@ -339,7 +339,7 @@
         world.nodes[1].target.draining = True
         world.run(2.0)
     assert delayed
-    world.store.go_back(context.copy)
+    world.store.restore(context.copy)
     world.run(3.0)
     # The expected revision matches again, as the restored store counts up to the same one.
     item = world.store.items[key]
--- a/features/steps/way_time_steps.py
+++ b/features/steps/way_time_steps.py
@@ -23,14 +23,14 @@
 
 @given("a connection between two daemons whose clocks are {seconds:g} s apart")
 def connection(context: Any, seconds: float) -> None:
-    context.now, context.clock_difference_s, context.taken = START_S, seconds, []
+    context.now, context.clock_difference_s, context.accepted_heads = START_S, seconds, []
     patch = mock.patch.object(peer_connection, "boot_time", lambda: context.now)
     patch.start()
     context.add_cleanup(patch.stop)
     handler = mock.Mock()
 
     def received(at: Any, stream: int, head: RequestHead, ended: bool, body: bytes) -> Any:
-        context.taken.append(head)
+        context.accepted_heads.append(head)
         return mock.Mock()
 
     handler.request_received = received
@@ -103,14 +103,16 @@
 
 @then("it is accepted with {left:d} ms left")
 def accepted_with(context: Any, left: int) -> None:
-    assert context.taken[-1].deadline_ms == left, context.taken[-1].deadline_ms
+    assert context.accepted_heads[-1].deadline_ms == left, context.accepted_heads[-1].deadline_ms
 
 
 @then("it is accepted with between {least:d} and {most:d} ms left")
 def accepted_between(context: Any, least: int, most: int) -> None:
-    assert least <= context.taken[-1].deadline_ms <= most, context.taken[-1].deadline_ms
+    assert least <= context.accepted_heads[-1].deadline_ms <= most, context.accepted_heads[
+        -1
+    ].deadline_ms
 
 
 @then("each is accepted with {left:d} ms left")
 def all_accepted_with(context: Any, left: int) -> None:
-    assert {head.deadline_ms for head in context.taken} == {left}
+    assert {head.deadline_ms for head in context.accepted_heads} == {left}
--- a/tests/fuzz/mesh_cases.py
+++ b/tests/fuzz/mesh_cases.py
@@ -25,9 +25,9 @@
     """A rule, its replacement when it is removed, and the scenario to run."""
 
     owner: Any
-    name: str
-    without: Any
-    play: Callable[[World], None]
+    attribute: str
+    replacement: Any
+    scenario: Callable[[World], None]
     way: GrantMode = GrantMode.HEARTBEAT
 
 
--- a/tests/fuzz/mesh_store.py
+++ b/tests/fuzz/mesh_store.py
@@ -75,7 +75,7 @@
         """Return the newest copy that was taken by a time, or the oldest one if there is none."""
         return self._copies.newest_by(at)
 
-    def go_back(self, copy: _Copy) -> None:
+    def restore(self, copy: _Copy) -> None:
         """Restore a copy: later writes are lost, and revisions and lease ids are used again.
 
         The entries of operators are written again; the leases of the copy start a full term anew.
--- a/tests/fuzz/mesh_targets.py
+++ b/tests/fuzz/mesh_targets.py
@@ -157,7 +157,7 @@
         self._world.record_held(self, [granted])
         return GrantVerdict.TAKEN
 
-    def seen(self, first: int, last: int, fence: int) -> None:
+    def note_other_grant(self, first: int, last: int, fence: int) -> None:
         """Note a grant of another planner: grants with a lower fence are refused from now on."""
         self._seen_grants.append((first, last, fence))
 
@@ -251,7 +251,7 @@
         self._world = world
         self._node = node
         self.offered: list[GrantedRow] = []
-        self.under_way = self.most_under_way = 0
+        self.in_flight = self.max_in_flight = 0
         self._process: FakeTarget | None = None
 
     @property
@@ -285,8 +285,8 @@
         """Deliver a grant: at once with a reply, or late, once or several times, without one."""
         world, daemon = self._world, self._node.daemon
         self.offered.append(row)
-        self.under_way += 1
-        self.most_under_way = max(self.most_under_way, self.under_way)
+        self.in_flight += 1
+        self.max_in_flight = max(self.max_in_flight, self.in_flight)
         pending_reply: Deferred[GrantReply] = Deferred()
         pending_reply.addCallback(self._call_ended)
         target_process = self._node.target
@@ -315,7 +315,7 @@
         return pending_reply
 
     def _call_ended(self, reply: GrantReply) -> GrantReply:
-        self.under_way -= 1
+        self.in_flight -= 1
         return reply
 
     def release(self, target: str, row: HeldRow) -> Deferred[ReleaseReply]:
--- a/tests/fuzz/mesh_world.py
+++ b/tests/fuzz/mesh_world.py
@@ -145,7 +145,7 @@
         self._born = born
         """Whether targets report their start time in heartbeats."""
         self._late_grants: list[tuple[float, ...]] = []
-        self._noted_pulls: dict[int, list[Pull]] = {}
+        self._map_requests: dict[int, list[Pull]] = {}
         self._rng = random.Random(seed)
         self._timing = timing
         self.store = FakeStore(self)
@@ -289,17 +289,17 @@
         """Delay the next grants, which get no reply; each is delivered once per delay."""
         self._late_grants.extend(late_s)
 
-    def count_offers(self, node: Node) -> list[GrantedRow]:
+    def record_grants(self, node: Node) -> list[GrantedRow]:
         """Return a list to which a daemon's grants are added from now on."""
         assert node.grants is not None
         node.grants.offered = []
         return node.grants.offered
 
-    def count_pulls(self, node: Node) -> list[Pull]:
+    def record_map_requests(self, node: Node) -> list[Pull]:
         """Return a list to which a daemon's requests for a key map are added from now on."""
-        pulls: list[Pull] = []
-        self._noted_pulls[node.number] = pulls
-        return pulls
+        requests: list[Pull] = []
+        self._map_requests[node.number] = requests
+        return requests
 
     def start_target(self, node: Node) -> None:
         """Start a new incarnation of the target."""
@@ -340,7 +340,7 @@
         """Make the store unavailable for some seconds, then restore it from an older copy."""
         self.store_down = True
         self.run(down_s)
-        self.store.go_back(copy)
+        self.store.restore(copy)
         self.store_down = False
 
     def lose(self, node: Node) -> None:
@@ -421,8 +421,8 @@
         return min((row.first for row in node.target.rows), default=0)
 
     def _send(self, node: Node, peer_id: PeerId, address: str, message: ControlMessage) -> None:
-        if isinstance(message, Pull) and node.number in self._noted_pulls:
-            self._noted_pulls[node.number].append(message)
+        if isinstance(message, Pull) and node.number in self._map_requests:
+            self._map_requests[node.number].append(message)
         receiver = next((n for n in self.nodes if str(_peer_address(n.number)) == address), None)
         if receiver is None or receiver.cut_from_peers or node.cut_from_peers:
             return
--- a/tests/fuzz/returning_store.py
+++ b/tests/fuzz/returning_store.py
@@ -14,7 +14,7 @@
 
 from .mesh_world import KEYS, Node, World, begin_world
 
-__all__ = ["Play"]
+__all__ = ["RestoreScenario"]
 
 SETTLE_S = 6.0
 DOMAINS = ("a", "b", "c")
@@ -31,14 +31,14 @@
 GRANT_DELAYS = ((2.0,), (2.6,), (0.0, 2.5), (0.5, 6.0), (1.0, 1.5))
 
 
-class Play:
+class RestoreScenario:
     """One scenario in virtual time."""
 
     def __init__(self, seed: int, way: GrantMode) -> None:
         self._rng = random.Random(seed)
         self._way = way
         self._seed = seed
-        self.told: list[str] = []
+        self.events: list[str] = []
         """The events, for the analysis of a failed run."""
 
     def run(self) -> None:
@@ -82,7 +82,7 @@
         world.run(rng.choice(PAUSES_S))
 
     def _record(self, world: World, what: str) -> None:
-        self.told.append(f"{world.now:.2f} {what}")
+        self.events.append(f"{world.now:.2f} {what}")
 
     # -- events -----------------------------------------------------------------------
 
