--- a/features/attached_target.feature
+++ b/features/attached_target.feature
@@ -17,9 +17,9 @@
     And 3 s later a heartbeat is received and the connection made for it is reset
     Then a grant is sent to its process
 
-  # The target's hold runs from the arrival of the call. If a daemon is suspended for a second after it
-  # has computed the end of the hold and before the call is sent, it lets others have the keys while
-  # its target still holds them.
+  # The target's hold runs from the arrival of the call. If a daemon is suspended for a second after
+  # it has computed the end of the hold and before the call is sent, it lets others have the keys
+  # while its target still holds them.
   Scenario: A grant is in the kernel's buffer when it counts as sent
     Given a target that takes its keys by calls, and its process
     When a heartbeat of it is received
--- a/features/crashing_requests.feature
+++ b/features/crashing_requests.feature
@@ -14,9 +14,9 @@
 
   # Guards against a request that crashes one target after another. Its caller sends it repeatedly,
   # each time under a new id and often to another daemon. If each daemon treats it as a new request,
-  # every target that starts to run it ends (eight of one service within 15 s), and requests for their
-  # keys are refused for that time. The event target_crashed names the same content at each crash, and
-  # each id arrives only once, so that the daemons' own retries are not the cause.
+  # every target that starts to run it ends (eight of one service within 15 s), and requests for
+  # their keys are refused for that time. The event target_crashed names the same content at each
+  # crash, and each id arrives only once, so that the daemons' own retries are not the cause.
   Scenario Outline: After three targets have crashed under a request it reaches no other one: <service>
     When a "<kind>" request to the <service> service has crashed three targets and 3 s have passed
     And it is sent twice more to every daemon
--- a/features/mesh_store_returns.feature
+++ b/features/mesh_store_returns.feature
@@ -2,9 +2,9 @@
 Feature: A store that is restored from an older copy, with real processes
 
   # Guards against a fence that is granted twice. All processes end just after keys have moved, and
-  # the store is restored from a copy made before the move. A planner that numbers maps from what the
-  # store has reads version 3 and writes version 4 again, with a fence one above that of the copy,
-  # and the first grants carry fence 4 although fence 4 was in use before.
+  # the store is restored from a copy made before the move. A planner that numbers maps from what
+  # the store has reads version 3 and writes version 4 again, with a fence one above that of the
+  # copy, and the first grants carry fence 4 although fence 4 was in use before.
   Scenario: No fence is granted twice, even if the store has lost the map that granted it
     When the store is copied and keyed targets hand over their keys, one after the other
     And all daemons and targets are killed, the store is restored from the copy and all are restarted
--- a/features/new_services.feature
+++ b/features/new_services.feature
@@ -1,11 +1,11 @@
 @cluster.patient.pooled
 Feature: A service that a daemon does not know yet is not reported as unknown
 
-  A daemon that reported "ready" could answer 404 "unknown-service", which is final, for a service
-  that existed. This happened in the first 0.6 s after the start, at daemons that had the services'
-  cell records but not their rows: records are announced when they are written, while rows were
-  announced before the daemons knew any peer, and so arrived only with a round of digests, which
-  takes a second. Readiness waited for neither. The symptoms are "pearward:failed" with
+  Guards against a daemon that reports "ready" and responds with 404 "unknown-service", which is
+  final, for a service that exists. This occurs in the first 0.6 s after the start, at daemons that
+  have the services' cell records but not their rows: records are announced when they are written;
+  if rows are announced before the daemons know any peer, they arrive only with a round of digests,
+  which takes a second. Readiness must wait for both. The symptoms are "pearward:failed" with
   "unknown-service" in the log, and "versions" without the rows in the daemon's status.
 
   Scenario: A daemon that has just started never says that a service does not exist
--- a/features/store_fallback.feature
+++ b/features/store_fallback.feature
@@ -1,8 +1,8 @@
 Feature: An owner without contact to its peers releases its shards through the store
 
-  Only the owner itself can release its shards when it is its own only witness. If it is cut off from
-  its peers, it stops serving them but can't tell its peers, and without a release through the store
-  its shards, for example 128 of 256, stay unserved as long as it is cut off. The same happens
+  Only the owner itself can release its shards when it is its own only witness. If it is cut off
+  from its peers, it stops serving them but can't tell its peers, and without a release through the
+  store its shards, for example 128 of 256, stay unserved as long as it is cut off. The same happens
   when only the new owners can't reach it.
 
   Scenario: An isolated owner reads that its shards were reassigned, and writes its release
--- a/features/store_returns.feature
+++ b/features/store_returns.feature
@@ -19,8 +19,8 @@
   # Guards against a fence that falls. A planner that starts after the store was restored knows only
   # what the store has. If the lost map assigned key 0 to one target under fence 4, and the planner
   # continues from the map before it, the former owner is granted the key again, and takes it under
-  # fence 1 or 3 after another target has held it under 4. The log event key_map_written then has the
-  # older ranges.
+  # fence 1 or 3 after another target has held it under 4. The log event key_map_written then has
+  # the older ranges.
   Scenario Outline: Whatever happens before and after the restore, a key has one holder and its fence rises: <seed>, <way>
     When the generated scenario of seed <seed> with keys by <way> is run
     Then it violates no invariant
--- a/features/way_time.feature
+++ b/features/way_time.feature
@@ -1,9 +1,9 @@
 Feature: The transit delay of a request is deducted from its deadline
 
   # Guards against running requests whose callers have disconnected. A daemon that stalls for more
-  # than a second then reads the requests that arrived meanwhile. Without the deduction it sends them
-  # to its target with all the time left that their senders stated, as the cancellations follow them
-  # in the same buffer.
+  # than a second then reads the requests that arrived meanwhile. Without the deduction it sends
+  # them to its target with all the time left that their senders stated, as the cancellations follow
+  # them in the same buffer.
   Scenario: A daemon that stalled runs no request whose caller has disconnected
     Given a connection between two daemons whose clocks are 5000 s apart
     When a request with 400 ms left arrives at once
--- a/features/witness_change.feature
+++ b/features/witness_change.feature
@@ -1,13 +1,14 @@
 Feature: Two owners of a key are impossible while witness sets change
 
   Guards against two owners after a change of the witness set whose versions some daemons have not
-  received. An owner in a cell of three is draining while one of its requests runs. The record changes
-  its witnesses from all three to itself alone, by way of a version in which both sets count; the owner
-  confirms that version and is cut off. The other two have received neither version. By the one on which
-  they act, a majority of the three is enough: they release the owner, and one serves the key while the
-  owner, whose lease only it renews, still runs the request. In the replay the stored record is at
-  version 6, the owner acts on it, and both others count votes for version 4. The state machine of
-  ownership finds this (seed 3, 3,000 examples) if an owner can be cut off while others are frozen.
+  received. An owner in a cell of three is draining while one of its requests runs. The record
+  changes its witnesses from all three to itself alone, by way of a version in which both sets
+  count; the owner confirms that version and is cut off. The other two have received neither
+  version. By the one on which they act, a majority of the three is enough: they release the owner,
+  and one serves the key while the owner, whose lease only it renews, still runs the request. In the
+  replay the stored record is at version 6, the owner acts on it, and both others count votes for
+  version 4. The state machine of ownership finds this (seed 3, 3,000 examples) if an owner can be
+  cut off while others are frozen.
 
   Scenario: The owner's former witnesses have not received the record that replaces them
     Given a cell of 3 daemons, of which the first runs requests and is draining
