--- a/features/cell_record.feature
+++ b/features/cell_record.feature
@@ -23,10 +23,10 @@
     Then the first member's shards are given to <whom>
 
     Examples:
-      | case                      | seconds | who               | whom          |
-      | it has not reported yet   | 1       | nobody has        | nobody else   |
-      | it reports                | 1       | the successor has | the successor |
-      | it does not come          | 9       | nobody has        | the others    |
+      | case                       | seconds | who               | whom          |
+      | it has not reported yet    | 1       | nobody has        | nobody else   |
+      | it reports                 | 1       | the successor has | the successor |
+      | it does not report in time | 9       | nobody has        | the others    |
 
   Scenario: The shards of a member that an operator reports as ended are reassigned without a wait
     Given a coordinator of a cell of 3 members that waits 8 s for a successor
--- a/features/cold_targets.feature
+++ b/features/cold_targets.feature
@@ -9,10 +9,10 @@
     And each refused request gets a retry delay after which capacity is free
 
     Examples:
-      | pattern                               | least |
-      | 200 requests a second come            | 30    |
-      | 80 requests come at once, each second | 28    |
-      | 8 requests a second come              | 24    |
+      | pattern                                 | least |
+      | 200 requests a second arrive            | 30    |
+      | 80 requests arrive at once, each second | 28    |
+      | 8 requests a second arrive              | 24    |
 
   Scenario: Requests sent just before a target became cold count
     Given a target that sustains 10 requests a second while it is cold
@@ -30,7 +30,7 @@
 
   Scenario: A target without a configured limit gets all requests while it is cold
     Given a target without a limit while it is cold
-    When it reports that it is cold for 3 s and 200 requests a second come
+    When it reports that it is cold for 3 s and 200 requests a second arrive
     Then it gets at least 599 requests in these 3 s
 
   Scenario: A cold target reports so few slots that others are preferred, and owns few keys
--- a/features/coordinator_role.feature
+++ b/features/coordinator_role.feature
@@ -3,10 +3,10 @@
   A daemon that takes the coordinator's role and is frozen may be declared lost by the previous
   coordinator, which still considers itself the holder and writes records without it. When the
   frozen daemon resumes, the platform's store names it as the coordinator, but it plans from the
-  record that it read before. In that record it is a member, every member reports and nothing has
-  to change, so it writes nothing; and since it reads the record again only after a write of its
-  own, it stays outside the cell until something else changes. The symptoms are a "cell-view" in
-  its log with an older version than the newest "record-written" in the other daemon's log, and a status
+  record that it read before. In that record it is a member, every member reports and nothing has to
+  change, so it writes nothing; and since it reads the record again only after a write of its own,
+  it stays outside the cell until something else changes. The symptoms are a "cell-view" in its log
+  with an older version than the newest "record-written" in the other daemon's log, and a status
   with the newest record_version and "no ownership lease".
 
   Scenario: A coordinator that was replaced for a time plans from the record written meanwhile
@@ -46,11 +46,11 @@
     Then it <takes> the role
 
     Examples:
-      | case                           | holder                     | hears           | takes         |
-      | cut off, the others go on      | another one holds the role | hears nobody    | does not take |
-      | the coordinator has ended      | another one holds the role | hears others    | takes         |
-      | all that is left, later        | nobody holds the role      | hears nobody    | takes         |
-      | started anew beside its server | it holds the role itself   | hears nobody    | takes         |
+      | case                         | holder                     | hears          | takes         |
+      | cut off, the others continue | another one holds the role | hears no other | does not take |
+      | the coordinator has ended    | another one holds the role | hears others   | takes         |
+      | the only daemon left, later  | no daemon holds the role   | hears no other | takes         |
+      | restarted beside its server  | it holds the role itself   | hears no other | takes         |
 
   # A daemon that gets a heartbeat and does not coordinate says so in its reply. Such a reply of a
   # former coordinator may arrive late. If it ended the heartbeats to the present coordinator, that
--- a/features/foreign.feature
+++ b/features/foreign.feature
@@ -28,16 +28,16 @@
     Then it is refused, and the error names <named>
 
     Examples:
-      | fault                        | named           |
-      | a state that is not named    | status.state    |
-      | no state                     | status.state    |
-      | slots as a text              | capacitySlots   |
-      | a truth value as sequence    | status.sequence |
-      | a negative cold time         | coldRemainingMs |
-      | a birth that is no number    | born            |
-      | keys that lie outside        | holds           |
-      | no address                   | address         |
-      | a mark of a life in its id   | id              |
+      | fault                          | named           |
+      | a state that is not named      | status.state    |
+      | no state                       | status.state    |
+      | slots as a text                | capacitySlots   |
+      | a truth value as sequence      | status.sequence |
+      | a negative cold time           | coldRemainingMs |
+      | a start time that is no number | born            |
+      | keys that lie outside          | holds           |
+      | no address                     | address         |
+      | an incarnation mark in its id  | id              |
 
   Scenario: Heartbeats of another service leave the local target unchanged and are logged once
     Given a daemon with a local target of "roster-app" that sends heartbeats
--- a/features/fuzz.feature
+++ b/features/fuzz.feature
@@ -6,12 +6,12 @@
     Then its oracle found no violation
 
     Examples:
-      | machine                        |
-      | ownership                      |
-      | streams                        |
-      | retries                        |
-      | table                          |
-      | ownership on a users' platform |
-      | ownership by calls             |
-      | a store that goes back         |
-      | a store that goes back, calls  |
+      | machine                                    |
+      | ownership                                  |
+      | streams                                    |
+      | retries                                    |
+      | table                                      |
+      | ownership on a users' platform             |
+      | ownership by calls                         |
+      | a store restored from an older copy        |
+      | a store restored from an older copy, calls |
--- a/features/key_gap.feature
+++ b/features/key_gap.feature
@@ -8,13 +8,13 @@
     Then it <what>
 
     Examples:
-      | at  | left | what                                |
-      | 0.0 | 1.2  | waits for at most 0.84 s            |
-      | 0.1 | 0.8  | is refused, to come back in 0.7 s   |
-      | 0.5 | 0.8  | waits for at most 0.44 s            |
-      | 0.5 | 0.5  | is refused, to come back in 0.3 s   |
-      | 1.5 | 0.8  | waits for at most 0.44 s            |
-      | 1.5 | 0.4  | is refused, to come back in 0.2 s   |
+      | at  | left | what                                   |
+      | 0.0 | 1.2  | waits for at most 0.84 s               |
+      | 0.1 | 0.8  | is refused with a retry delay of 0.7 s |
+      | 0.5 | 0.8  | waits for at most 0.44 s               |
+      | 0.5 | 0.5  | is refused with a retry delay of 0.3 s |
+      | 1.5 | 0.8  | waits for at most 0.44 s               |
+      | 1.5 | 0.4  | is refused with a retry delay of 0.2 s |
 
   Scenario: The expected duration follows the handovers that are observed
     Given a target whose last ten handovers took 0.8 s
--- a/features/mesh_decisions.feature
+++ b/features/mesh_decisions.feature
@@ -22,7 +22,7 @@
     When a request runs and requests of rank 2, 1 and 2 wait
     Then the one of rank 1 starts next
 
-  Scenario: A request that can no longer be answered in time is not started
+  Scenario: A request that can no longer get its response in time is not started
     Given a target with 1 slots whose requests run 0.4 s
     When a request runs and one waits whose deadline is near
     Then the waiting one is dropped when the slot becomes free
@@ -132,11 +132,11 @@
 
   Scenario: A member whose entry has expired is kept as long as the store is unavailable
     Given members "one" and "two" of a service
-    And the store does not answer
+    And the store does not respond
     When the entry of "one" is removed
     And 60 s pass
     Then both may get requests
-    When the store answers again
+    When the store responds again
     And 60 s pass
     Then only "two" may get requests
 
@@ -269,7 +269,7 @@
     Given owners with capacities 100, 50 and 50
     And the second owner is assigned the first owner's keys, which it does not hold yet
     When those keys are assigned to the third owner, and its daemon asks for their release
-    Then the second owner's daemon does not answer until it has that map, and then reports them released
+    Then the second owner's daemon does not reply until it has that map, and then reports them released
 
   Scenario: A release that is reported repeatedly is recorded once
     Given owners with capacities 100, 50 and 50
--- a/features/mesh_ownership.feature
+++ b/features/mesh_ownership.feature
@@ -122,14 +122,14 @@
     Then two holders are found
 
     Examples:
-      | rule                                              |
-      | a hold ends within the lease                      |
-      | a witness waits for what it granted               |
-      | a new owner waits for its predecessors            |
-      | a witness renews only by a map as new as its own  |
-      | a majority of witnesses releases                  |
-      | a restarted witness releases after a full lease   |
-      | a release is told only by a map as new as asked   |
-      | released keys rest until unanswered grants run out |
-      | a restarted daemon waits for its earlier grants   |
-      | a hold by call ends within the lease              |
+      | rule                                                |
+      | a hold ends within the lease                        |
+      | a witness waits for what it granted                 |
+      | a new owner waits for its predecessors              |
+      | a witness renews only by a map as new as its own    |
+      | a majority of witnesses releases                    |
+      | a restarted witness releases after a full lease     |
+      | a release is reported only by a map as new as asked |
+      | released keys rest until unanswered grants run out  |
+      | a restarted daemon waits for its earlier grants     |
+      | a hold by call ends within the lease                |
--- a/features/overload.feature
+++ b/features/overload.feature
@@ -38,12 +38,12 @@
     When the pattern "hot" is simulated twice
     Then both simulations have the same results
 
-  Scenario Outline: A refused caller with <left> s of its objective left has a retry delay of <back> s
-    Given a request that runs <runs> s and may wait <patience> s, with free capacity in <room> s
-    Then with <left> s left its retry delay is <back> s
+  Scenario Outline: A refused caller with <left> s of its objective left has a retry delay of <delay> s
+    Given a request that runs <runs> s and may wait <max_wait> s, with free capacity in <free> s
+    Then with <left> s left its retry delay is <delay> s
 
     Examples:
-      | left | runs | patience | room | back  |
+      | left | runs | max_wait | free | delay |
       | 0.4  | 0.15 | 0.1      | 0.1  | 0.105 |
       | 0.3  | 0.15 | 0.1      | 0.1  | 0.25  |
       | -1.0 | 0.15 | 0.1      | 0.6  | 0.6   |
--- a/features/patience.feature
+++ b/features/patience.feature
@@ -14,7 +14,7 @@
     Then the download is complete and matches its request
     And that daemon ends with exit code 0
 
-  Scenario: A drained server gets no new requests and breaks none off
+  Scenario: A drained server gets no new requests and aborts none
     Given callers send requests to "paypost"
     When the command "drain paypost/paypost-1 --wait" is run
     And 2 seconds pass
--- a/features/quarantine.feature
+++ b/features/quarantine.feature
@@ -70,12 +70,12 @@
     Then all daemons refuse it after 1.5 s
 
   Scenario: A target that ends after announcing it has not crashed
-    Given the daemon of a target that broke off 3 requests
+    Given the daemon of a target at which 3 requests failed
     When the target ends after announcing it
     Then no crash is recorded
 
   Scenario: A request whose caller disconnected just before a crash may have caused it
-    Given the daemon of a target that broke off 3 requests
+    Given the daemon of a target at which 3 requests failed
     And a request whose caller disconnected 0.05 s before, and one whose caller disconnected 3 s before
     When the target ends unannounced
     Then the crash record names 4 requests, the first of these two among them
@@ -85,6 +85,6 @@
     Then the target is not suspected to have crashed
 
   Scenario: A target that still completes requests has not crashed
-    Given the daemon of a target that broke off 3 requests
+    Given the daemon of a target at which 3 requests failed
     When it completes another one 1 s later and then ends unannounced
     Then no crash is recorded
--- a/features/request_path.feature
+++ b/features/request_path.feature
@@ -46,12 +46,12 @@
     And 20000000 bytes are fetched from "paypost" through each daemon
     Then every response is served, complete and matches its request
 
-  Scenario: A response that the server breaks off is never taken for complete
-    When a response of 5000000 bytes from "paypost" breaks off after 2000000
-    Then the response is broken off
+  Scenario: A response that the server truncates is never taken for complete
+    When a response of 5000000 bytes from "paypost" is truncated after 2000000
+    Then the response is truncated
 
-  Scenario: A short response that the server breaks off has the outcome unknown
-    When a response of 9000 bytes from "paypost" breaks off after 4000, not repeatable
+  Scenario: A short response that the server truncates has the outcome unknown
+    When a response of 9000 bytes from "paypost" is truncated after 4000, not repeatable
     Then the response is 502 "unknown" because of "server-failed"
 
   Scenario: A deadline that passes at the server gives an immediate response with the outcome unknown
--- a/features/same_id.feature
+++ b/features/same_id.feature
@@ -3,35 +3,35 @@
   The new incarnation holds no keys, has no state of the former one and starts its heartbeat numbers
   again. The oracle checks every tick for two holders of a key, and for a fence that does not rise.
 
-  Scenario Outline: It owns its keys again, under higher fences: <way>, <told>
+  Scenario Outline: It owns its keys again, under higher fences: <way>, <report>
     Given <way>
-    And targets that <told> their start time
+    And targets that <report> their start time
     And a fleet of 4 targets that serves
     When target 1 restarts under its id
     Then every key is served after <seconds> s
     And the daemon of target 1 distinguishes its two incarnations
 
     Examples:
-      | told        | way                                   | seconds |
-      | tell        | targets that take keys by heartbeats  | 5       |
-      | do not tell | targets that take keys by heartbeats  | 9       |
-      | tell        | targets that take their keys by calls | 5       |
+      | report        | way                                   | seconds |
+      | report        | targets that take keys by heartbeats  | 5       |
+      | do not report | targets that take keys by heartbeats  | 9       |
+      | report        | targets that take their keys by calls | 5       |
 
-  Scenario: Only its later incarnation tells its start time
-    Given targets that do not tell their start time
+  Scenario: Only its later incarnation reports its start time
+    Given targets that do not report their start time
     And a fleet of 4 targets that serves
-    When target 1 restarts under its id, start time told
+    When target 1 restarts under its id, start time reported
     Then every key is served after 9 s
     And the daemon of target 1 distinguishes its two incarnations
 
   Scenario: It restarts repeatedly
-    Given targets that tell their start time
+    Given targets that report their start time
     And a fleet of 4 targets that serves
     When target 1 restarts under its id 3 times, 1 s apart
     Then every key is served after 6 s
 
   Scenario Outline: A late heartbeat of the former incarnation changes nothing, in either order: <order>
-    Given targets that tell their start time
+    Given targets that report their start time
     And a fleet of 4 targets that serves
     When target 1 restarts under its id, and one heartbeat of its former incarnation arrives <order>
     Then every key is served after 6 s
@@ -44,7 +44,7 @@
       | just before its first   |
 
   Scenario: Its daemon restarts at the same time
-    Given targets that tell their start time
+    Given targets that report their start time
     And a fleet of 4 targets that serves
     When target 1 restarts under its id, and its daemon at the same moment
     Then every key is served after 7 s
@@ -61,18 +61,18 @@
     And heartbeat 1 with start time 6000 belongs to "t~6000"
     And heartbeat 10 with start time 5000 is late
 
-  Scenario: Heartbeats of one incarnation of which only some tell its start time
+  Scenario: Heartbeats of one incarnation of which only some report its start time
     Given a daemon that has received heartbeats 1 to 9 of "t"
     Then heartbeat 10 with start time 5000 belongs to "t"
     And heartbeat 11 belongs to "t"
 
   # Guards against a fence under which two incarnations hold a key. A target's process ends and
-  # restarts at once under the same id, and a call that renews its keys reaches the new process before
-  # the daemon has its first heartbeat. As the call names only the id, the new incarnation would hold
-  # key 16384 under fence 1, as the former one did.
+  # restarts at once under the same id, and a call that renews its keys reaches the new process
+  # before the daemon has its first heartbeat. As the call names only the id, the new incarnation
+  # would hold key 16384 under fence 1, as the former one did.
   Scenario: A renewal by call does not reach the next incarnation of a target under the former one's fence
     Given targets that take their keys by calls
-    And targets that tell their start time
+    And targets that report their start time
     And a fleet of 4 targets that serves
     When 0.9 s pass and target 1 restarts under its id
     Then every key is served after 5 s
--- a/features/soak.feature
+++ b/features/soak.feature
@@ -22,37 +22,37 @@
   Scenario Outline: A violated guarantee is found: <fault>
     Given the records of a soak with two requests and no violation
     When the records are changed to show "<fault>"
-    Then exactly one broken promise is told, which names "<name>"
+    Then exactly one violation is reported, which names "<name>"
 
     Examples:
-      | fault                                    | name    |
-      | a success with another body              | r1      |
-      | a request run twice                      | r2      |
-      | a refused request that ran               | r2      |
-      | a lower fence after a higher one         | key 7   |
-      | two targets under one fence              | key 7   |
-      | a run at another service                 | r1      |
-      | a request after a leave was acknowledged | r1      |
-      | a request that ran and was not answered  | r1      |
-      | an answer that broke off                 | r1      |
-      | a request that goes on crashing targets  | /sheets/safe/bad |
+      | fault                                    | name             |
+      | a success with another body              | r1               |
+      | a request run twice                      | r2               |
+      | a refused request that ran               | r2               |
+      | a lower fence after a higher one         | key 7            |
+      | two targets under one fence              | key 7            |
+      | a run at another service                 | r1               |
+      | a request after a leave was acknowledged | r1               |
+      | a request that ran without a response    | r1               |
+      | a truncated response                     | r1               |
+      | a request that keeps crashing targets    | /sheets/safe/bad |
 
   Scenario: A daemon that was killed may leave a request without a response
     Given the records of a soak with two requests and no violation
-    When the records are changed to show "a request that ran and was not answered"
+    When the records are changed to show "a request that ran without a response"
     And the daemon that received the request was killed meanwhile
-    Then no broken promise is told
+    Then no violation is reported
 
   Scenario Outline: A response may be truncated by a fault on its path: <began> s
     Given the records of a soak with two requests and no violation
-    When the records are changed to show "an answer that broke off"
+    When the records are changed to show "a truncated response"
     And a fault affected a link from <began> s to <ended> s
-    Then <told>
+    Then <reported>
 
     Examples:
-      | began | ended | told                                           |
-      | 4     | 6     | no broken promise is told                      |
-      | 1     | 4     | exactly one broken promise is told, which names "r1" |
+      | began | ended | reported                                            |
+      | 4     | 6     | no violation is reported                            |
+      | 1     | 4     | exactly one violation is reported, which names "r1" |
 
   @long
   Scenario Outline: Regression: seed <seed>, <cause>
@@ -60,6 +60,6 @@
     Then no guarantee is violated and requests were served
 
     Examples:
-      | seed | cause                                                                       |
-      | 21   | a long answer broke off as its owner's daemon was killed; the check was wrong |
-      | 42   | a long answer broke off on a stalled link; the check was wrong              |
+      | seed | cause                                                                               |
+      | 21   | a long response was truncated as its owner's daemon was killed; the check was wrong |
+      | 42   | a long response was truncated on a stalled link; the check was wrong                |
--- a/features/steps/cold_steps.py
+++ b/features/steps/cold_steps.py
@@ -44,12 +44,12 @@
         context.sent.append(now)
 
 
-@when("it reports that it is cold for 3 s and {count:d} requests a second come")
+@when("it reports that it is cold for 3 s and {count:d} requests a second arrive")
 def steady(context: Any, count: int) -> None:
     _offer(context, [START + number / count for number in range(int(COLD_S * count))])
 
 
-@when("it reports that it is cold for 3 s and {count:d} requests come at once, each second")
+@when("it reports that it is cold for 3 s and {count:d} requests arrive at once, each second")
 def bursts(context: Any, count: int) -> None:
     _offer(context, [START + second for second in range(int(COLD_S)) for _ in range(count)])
 
--- a/features/steps/contact_steps.py
+++ b/features/steps/contact_steps.py
@@ -29,13 +29,13 @@
 
 
 @when("{who} is heard every {pause:g} s for {seconds:g} s")
-@when("{who} is heard every {pause:g} s for {seconds:g} s, and {answers}")
-def note_received(context: Any, who: str, pause: float, seconds: float, answers: str = "") -> None:
+@when("{who} is heard every {pause:g} s for {seconds:g} s, and {reply}")
+def note_received(context: Any, who: str, pause: float, seconds: float, reply: str = "") -> None:
     members = context.record.members
-    given_up = members[min(1, len(members) - 1)]
+    retired_member = members[min(1, len(members) - 1)]
     peers = {
         "another member": PeerId(members[-1].incarnation, members[-1].peer),
-        "a member given up": PeerId(given_up.incarnation, given_up.peer),
+        "a retired member": PeerId(retired_member.incarnation, retired_member.peer),
         "a successor": PeerId("successor", members[-1].peer),
         "a stranger": PeerId("stranger", "10.9.9.9:1"),
         "itself": PeerId(members[0].incarnation, members[0].peer),
@@ -47,7 +47,7 @@
         if who in peers and context.now >= next_message_at:
             next_message_at += pause
             context.contact.note_received(peers[who], context.now)
-            if answers == "answers it":
+            if reply == "replies":
                 context.contact.note_reply(peers[who], context.now)
         if context.contact.is_isolated(context.now):
             context.isolated_at.append(context.now)
@@ -55,7 +55,7 @@
 
 @then("it is {isolated}, and waits {seconds:g} s before it tries to acquire the coordinator's role")
 def is_isolated(context: Any, isolated: str, seconds: float) -> None:
-    assert context.contact.is_isolated(context.now) == (isolated == "alone")
+    assert context.contact.is_isolated(context.now) == (isolated == "isolated")
     assert context.contact.election_delay_s(context.now, lease_held=False) == seconds
 
 
--- a/features/steps/coordinator_role_steps.py
+++ b/features/steps/coordinator_role_steps.py
@@ -218,7 +218,7 @@
             "pearward_daemon.coordinator_election.boot_time", return_value=1000.0 + step * STEP_S
         ):
             if not context.taken_leases:
-                context.election.tick(0, 0.0, may_replace=hears != "hears nobody")
+                context.election.tick(0, 0.0, may_replace=hears != "hears no other")
 
 
 @then("it takes the role")
--- a/features/steps/foreign_steps.py
+++ b/features/steps/foreign_steps.py
@@ -205,12 +205,12 @@
         "slots as a text": lambda: target_heartbeat["information"].update(capacitySlots="12"),
         "a truth value as sequence": lambda: target_heartbeat["status"].update(sequence=True),
         "a negative cold time": lambda: target_heartbeat["status"].update(coldRemainingMs=-1),
-        "a birth that is no number": lambda: target_heartbeat.update(born="yesterday"),
+        "a start time that is no number": lambda: target_heartbeat.update(born="yesterday"),
         "keys that lie outside": lambda: target_heartbeat.update(holds=[[0, 70_000, 1]]),
         "no address": lambda: target_heartbeat.pop("address"),
-        "a mark of a life in its id": lambda: None,
+        "an incarnation mark in its id": lambda: None,
     }
-    if fault == "a mark of a life in its id":
+    if fault == "an incarnation mark in its id":
         name = "i-1~5"
     changes[fault]()
     try:
--- a/features/steps/fuzz_steps.py
+++ b/features/steps/fuzz_steps.py
@@ -29,8 +29,8 @@
     "table": (TableMachine, 120, 40),
     "ownership on a users' platform": (MeshMachine, 60, 25),
     "ownership by calls": (CallMeshMachine, 60, 25),
-    "a store that goes back": (ReturningStoreMachine, 60, 25),
-    "a store that goes back, calls": (CallReturningStoreMachine, 60, 25),
+    "a store restored from an older copy": (ReturningStoreMachine, 60, 25),
+    "a store restored from an older copy, calls": (CallReturningStoreMachine, 60, 25),
 }
 
 
--- a/features/steps/key_gap_steps.py
+++ b/features/steps/key_gap_steps.py
@@ -42,7 +42,7 @@
     assert abs(context.max_wait_s - seconds) < 0.01, context.max_wait_s
 
 
-@then("it is refused, to come back in {seconds:g} s")
+@then("it is refused with a retry delay of {seconds:g} s")
 def refused(context: Any, seconds: float) -> None:
     assert context.max_wait_s == 0.0, context.max_wait_s
     assert abs(context.retry_delay_s - seconds) < 0.01, context.retry_delay_s
--- a/features/steps/mesh_key_map_steps.py
+++ b/features/steps/mesh_key_map_steps.py
@@ -383,7 +383,7 @@
     context.next = _reassign_first_range(context.map, "t2", [Predecessor("t0", 1), second])
 
 
-@then("the second owner's daemon does not answer until it has that map, and then reports "
+@then("the second owner's daemon does not reply until it has that map, and then reports "
       "them released")  # fmt: skip
 def reports_when_known(context: Any) -> None:
     moved = context.next.ranges[0]
--- a/features/steps/mesh_member_steps.py
+++ b/features/steps/mesh_member_steps.py
@@ -37,12 +37,12 @@
     context.directory.note_unreachable(f"t-{name}", NOW)
 
 
-@given("the store does not answer")
+@given("the store does not respond")
 def store_unavailable(context: Any) -> None:
     context.directory.store_answers(None)
 
 
-@when("the store answers again")
+@when("the store responds again")
 def store_available(context: Any) -> None:
     context.directory.store_answers(NOW)
 
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -203,10 +203,10 @@
 def mass_crash(context: Any, lost: int, again: int) -> None:
     context.now = START
     context.quarantine = Quarantine(context.rule)
-    asked = [tuple(f"r{number}-{slot}" for slot in range(12)) for number in range(lost)]
-    _note_crashes(context, *(_record(number, *asked[number]) for number in range(lost)))
+    lost_contents = [tuple(f"r{number}-{slot}" for slot in range(12)) for number in range(lost)]
+    _note_crashes(context, *(_record(number, *lost_contents[number]) for number in range(lost)))
     # The lost requests are retried at the others: each of these runs some from every lost target.
-    everything = [content for contents in asked for content in contents]
+    everything = [content for contents in lost_contents for content in contents]
     context.retried_contents = everything
     for number in range(again):
         _note_crashes(context, _record(lost + number, *everything[number::lost]))
@@ -323,8 +323,8 @@
     assert len(context.quarantine._crashes) <= crashes
 
 
-@given("the daemon of a target that broke off {count:d} requests")
-def broke_off(context: Any, count: int) -> None:
+@given("the daemon of a target at which {count:d} requests failed")
+def requests_failed(context: Any, count: int) -> None:
     context.now = START
     context.reported = []
     context.quarantine = Quarantine(QuarantineRule())
@@ -362,7 +362,7 @@
 
 @given("the daemon of a target, one of whose callers has disconnected")
 def one_disconnected(context: Any) -> None:
-    broke_off(context, 0)
+    requests_failed(context, 0)
     _disconnect_caller(context, "left", context.now)
 
 
--- a/features/steps/request_steps.py
+++ b/features/steps/request_steps.py
@@ -224,8 +224,8 @@
         _call(context, node.caller, service, path=f"/d?bytes={size}", expect_bytes=size)
 
 
-@when('a response of {size:d} bytes from "{service}" breaks off after {cut:d}')
-@when('a response of {size:d} bytes from "{service}" breaks off after {cut:d}, not repeatable')
+@when('a response of {size:d} bytes from "{service}" is truncated after {cut:d}')
+@when('a response of {size:d} bytes from "{service}" is truncated after {cut:d}, not repeatable')
 def break_off_response(context: Any, size: int, service: str, cut: int) -> None:
     try:
         _call(
@@ -237,8 +237,8 @@
         context.notes["reset"] = error
 
 
-@then("the response is broken off")
-def broken_off(context: Any) -> None:
+@then("the response is truncated")
+def truncated(context: Any) -> None:
     if "reset" in context.notes:
         assert not context.responses
         return
--- a/features/steps/same_id_steps.py
+++ b/features/steps/same_id_steps.py
@@ -20,26 +20,26 @@
     context.grant_mode = GrantMode.HEARTBEAT
 
 
-@given("targets that tell their start time")
-def start_time_told(context: Any) -> None:
+@given("targets that report their start time")
+def start_time_reported(context: Any) -> None:
     context.born = True
 
 
-@given("targets that do not tell their start time")
-def start_time_not_told(context: Any) -> None:
+@given("targets that do not report their start time")
+def start_time_not_reported(context: Any) -> None:
     context.born = False
 
 
 @when("target {number:d} restarts under its id")
 def restarts_as_before(context: Any, number: int) -> None:
-    restarts(context, number, "told" if context.born else "not told")
+    restarts(context, number, "reported" if context.born else "not reported")
 
 
-@when("target {number:d} restarts under its id, start time {told}")
-def restarts(context: Any, number: int, told: str) -> None:
+@when("target {number:d} restarts under its id, start time {reported}")
+def restarts(context: Any, number: int, reported: str) -> None:
     node = context.world.nodes[number]
     context.former = node.daemon.core.local_target.grant_manager.target
-    context.world.restart_target(node, born=told == "told")
+    context.world.restart_target(node, born=reported == "reported")
 
 
 @when("{seconds:g} s pass and target {number:d} restarts under its id")
--- a/features/steps/size_steps.py
+++ b/features/steps/size_steps.py
@@ -217,12 +217,12 @@
 
 def _count_probes(context: Any, count: int, free: float) -> int:
     """Let requests look for a target; return how many of them probe for a free slot."""
-    asked = 0
+    probes = 0
     for _ in range(count):
         if context.odds.should_probe():
-            asked += 1
+            probes += 1
             context.odds.note_probe(found=context.rng.random() < free)
-    return asked
+    return probes
 
 
 @then("fewer than {most:d} of them probe for a free slot")
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -90,11 +90,11 @@
             runs[0] = replace(runs[0], service="sheets")
         case "a request after a leave was acknowledged":
             context.leaves.append(Leave("t1", 7.0))
-        case "a request that ran and was not answered":
+        case "a request that ran without a response":
             responses[0] = replace(responses[0], status=0, header_received=False, intact=False)
-        case "an answer that broke off":
+        case "a truncated response":
             responses[0] = replace(responses[0], status=0, intact=False)
-        case "a request that goes on crashing targets":
+        case "a request that keeps crashing targets":
             crashing_run = Run("r3", "t3", "sheets", "/sheets/safe/bad?spoil=crash", "", 0, 10.0)
             runs += [replace(crashing_run, at=10.0 + second) for second in range(10)]
         case _:
@@ -111,12 +111,12 @@
     context.disturbances.append(Disturbance(began, ended))
 
 
-@then('exactly one broken promise is told, which names "{name}"')
+@then('exactly one violation is reported, which names "{name}"')
 def one_violation(context: Any, name: str) -> None:
     violations = _violations(context)
     assert len(violations) == 1 and violations[0].startswith(name), violations
 
 
-@then("no broken promise is told")
+@then("no violation is reported")
 def no_violation(context: Any) -> None:
     assert _violations(context) == []
--- a/tests/fuzz/mesh_cases.py
+++ b/tests/fuzz/mesh_cases.py
@@ -221,7 +221,7 @@
         target_witness.TargetWitness, "__init__", _release_from_start,
         _drain_cut_and_restart_witnesses,
     ),
-    "a release is told only by a map as new as asked": Case(
+    "a release is reported only by a map as new as asked": Case(
         grants.GrantManager, "released_rows", _release_by_any_map, _release_asked_with_older_map
     ),
     "released keys rest until unanswered grants run out": Case(
--- a/tests/fuzz/mesh_world.py
+++ b/tests/fuzz/mesh_world.py
@@ -297,9 +297,9 @@
 
     def record_map_requests(self, node: Node) -> list[Pull]:
         """Return a list to which a daemon's requests for a key map are added from now on."""
-        requests: list[Pull] = []
-        self._map_requests[node.number] = requests
-        return requests
+        map_requests: list[Pull] = []
+        self._map_requests[node.number] = map_requests
+        return map_requests
 
     def start_target(self, node: Node) -> None:
         """Start a new incarnation of the target."""
