--- a/features/steps/request_steps.py
+++ b/features/steps/request_steps.py
@@ -68,12 +68,12 @@
 def send_named(context: Any) -> None:
     owner = context.responses[-1].headers["pearward-owner"]
     _call(context, owner, "roster-app", "crew-1")
-    context.notes["asked"] = owner
+    context.notes["owner"] = owner
 
 
 @then("the last response names the daemon that sent it")
 def names_itself(context: Any) -> None:
-    assert context.responses[-1].headers["pearward-owner"] == context.notes["asked"]
+    assert context.responses[-1].headers["pearward-owner"] == context.notes["owner"]
 
 
 @when('"{method}" for key "{key}" of "{service}" is sent with "{header}" set to "{value}"')
