--- a/features/steps/foreign_steps.py
+++ b/features/steps/foreign_steps.py
@@ -205,12 +205,12 @@
         "slots as a text": lambda: target_heartbeat["information"].update(capacitySlots="12"),
         "a truth value as sequence": lambda: target_heartbeat["status"].update(sequence=True),
         "a negative cold time": lambda: target_heartbeat["status"].update(coldRemainingMs=-1),
-        "a birth that is no number": lambda: target_heartbeat.update(born="yesterday"),
+        "a start time that is no number": lambda: target_heartbeat.update(born="yesterday"),
         "keys that lie outside": lambda: target_heartbeat.update(holds=[[0, 70_000, 1]]),
         "no address": lambda: target_heartbeat.pop("address"),
-        "a mark of a life in its id": lambda: None,
+        "an incarnation mark in its id": lambda: None,
     }
-    if fault == "a mark of a life in its id":
+    if fault == "an incarnation mark in its id":
         name = "i-1~5"
     changes[fault]()
     try:
@@ -276,7 +276,7 @@
         "another address": orjson.dumps(data | {"peer_address": "10.9.9.9:1"}),
     }[how]
     context.valid_entry = item.value
-    context.before = context.world.holders()
+    context.holders_before = context.world.holders()
     world.store.revision += 1
     world.store.put(Put(key, corrupted, item.lease))
 
@@ -290,7 +290,7 @@
 
 @then("no key changed its holder meanwhile")
 def holders_stay(context: Any) -> None:
-    assert context.world.holders() == context.before
+    assert context.world.holders() == context.holders_before
 
 
 @when("the key map is corrupted and {then_what}")
